--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -23,7 +23,7 @@
 
 import defopt
 
-from godwitshunt.claims import ClaimsTask, Granted, KeptAnswer
+from godwitshunt.claims import ClaimsTask, Granted, StoredAnswer
 from godwitshunt.claims.holder import Holder
 from godwitshunt.claims.keys import parse_key
 from godwitshunt.claims.verdicts import Attempt, Claim, Finish
@@ -424,7 +424,7 @@
         if answer_bytes:
             body = bytes(answer_bytes)
             holder.apply(
-                Finish(attempt, KeptAnswer(200, (), body)),
+                Finish(attempt, StoredAnswer(200, (), body)),
                 345,
                 0.0,
             )
--- a/godwitshunt/claims/__init__.py
+++ b/godwitshunt/claims/__init__.py
@@ -14,7 +14,7 @@
             'ClaimOutcome',
             'Granted',
             'InProgress',
-            'KeptAnswer',
+            'StoredAnswer',
             'KeyExpired',
             'KeyMalformed',
             'KeyReused',
--- a/godwitshunt/claims/claimant.py
+++ b/godwitshunt/claims/claimant.py
@@ -14,11 +14,11 @@
     AlreadyAnswered,
     ClaimOutcome,
     InProgress,
-    KeptAnswer,
     KeyExpired,
     KeyReused,
     NoMajority,
     RunUnknown,
+    StoredAnswer,
 )
 from godwitshunt.claims.standing import majority, of_present_lives
 from godwitshunt.claims.verdicts import HolderAnswer, Verdict
@@ -138,7 +138,7 @@
     """Return an outcome that no further answer can change."""
     for answer in answers.values():
         match answer.ending:
-            case KeptAnswer():
+            case StoredAnswer():
                 return AlreadyAnswered(answer.ending)
             case RunUnknown():
                 return answer.ending
--- a/godwitshunt/claims/holder.py
+++ b/godwitshunt/claims/holder.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 
 from godwitshunt.claims.keys import ClaimKey
-from godwitshunt.claims.messages import KeptAnswer
+from godwitshunt.claims.messages import StoredAnswer
 from godwitshunt.claims.records import (
     MAX_WITHDRAWN,
     ClaimRecord,
@@ -231,7 +231,7 @@
         verdict = Verdict.unknown
         if record.ending is None:
             verdict = Verdict.held
-        if isinstance(record.ending, KeptAnswer):
+        if isinstance(record.ending, StoredAnswer):
             verdict = Verdict.answered
         return HolderAnswer(
             verdict,
--- a/godwitshunt/claims/messages.py
+++ b/godwitshunt/claims/messages.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True)
-class KeptAnswer:
+class StoredAnswer:
     """The whole answer of a call that ran, kept for resends of its key."""
 
     status: int
@@ -23,7 +23,7 @@
 class AlreadyAnswered:
     """The call ran and its answer was kept."""
 
-    answer: KeptAnswer
+    answer: StoredAnswer
 
 
 @dataclass(frozen=True)
--- a/godwitshunt/claims/records.py
+++ b/godwitshunt/claims/records.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from godwitshunt.claims.keys import ClaimKey
-from godwitshunt.claims.messages import KeptAnswer, RunUnknown
+from godwitshunt.claims.messages import RunUnknown, StoredAnswer
 
 MAX_CLAIMS = 65536
 # Answers beyond these are noted as *ran, answer not kept*.
@@ -24,7 +24,7 @@
     ----------
     attempt : int
         0 where the key is free.
-    ending : KeptAnswer, RunUnknown or None
+    ending : StoredAnswer, RunUnknown or None
         None while the attempt may be running.
     withdrawn : tuple of int
         Attempts that must not be recorded any more, though their claim may
@@ -34,13 +34,13 @@
     request_digest: bytes
     vm: str
     attempt: int
-    ending: KeptAnswer | RunUnknown | None = None
+    ending: StoredAnswer | RunUnknown | None = None
     withdrawn: tuple[int, ...] = ()
 
 
-def answer_bytes(ending: KeptAnswer | RunUnknown | None) -> int:
+def answer_bytes(ending: StoredAnswer | RunUnknown | None) -> int:
     """Return the bytes of an answer's body and headers."""
-    if not isinstance(ending, KeptAnswer):
+    if not isinstance(ending, StoredAnswer):
         return 0
     headers = sum(len(name) + len(text) for name, text in ending.headers)
     return len(ending.body) + headers
@@ -76,8 +76,8 @@
         self.answers_bytes += answer_bytes(record.ending)
 
     def fitting(
-        self, ending: KeptAnswer | RunUnknown
-    ) -> KeptAnswer | RunUnknown:
+        self, ending: StoredAnswer | RunUnknown
+    ) -> StoredAnswer | RunUnknown:
         """Return an ending as it is kept."""
         size = answer_bytes(ending)
         if size > MAX_ANSWER_BYTES:
--- a/godwitshunt/claims/task.py
+++ b/godwitshunt/claims/task.py
@@ -13,10 +13,10 @@
 from godwitshunt.claims.messages import (
     ClaimOutcome,
     Granted,
-    KeptAnswer,
     KeyExpired,
     NoMajority,
     RunUnknown,
+    StoredAnswer,
 )
 from godwitshunt.claims.stamps import StampKeeper
 from godwitshunt.claims.standing import majority
@@ -213,7 +213,7 @@
         # have run the call.
         return Err(NoMajority(0, 1))
 
-    async def finish(self, key: str, answer: KeptAnswer) -> None:
+    async def finish(self, key: str, answer: StoredAnswer) -> None:
         """Keep a call's whole answer for resends of its key."""
         await self.end(key, answer)
 
@@ -221,7 +221,7 @@
         """Note that a call may have run and that there is no answer."""
         await self.end(key, RunUnknown(reason))
 
-    async def end(self, key: str, ending: KeptAnswer | RunUnknown) -> None:
+    async def end(self, key: str, ending: StoredAnswer | RunUnknown) -> None:
         """Tell the holders what came of a granted attempt."""
         attempt = self.granted.pop(key, None)
         if attempt is not None:
--- a/godwitshunt/claims/tests/machine.py
+++ b/godwitshunt/claims/tests/machine.py
@@ -12,8 +12,8 @@
 from godwitshunt.claims.keys import ClaimKey, parse_key
 from godwitshunt.claims.messages import (
     AlreadyAnswered,
-    KeptAnswer,
     RunUnknown,
+    StoredAnswer,
 )
 from godwitshunt.claims.recovery import (
     Recovered,
@@ -30,7 +30,7 @@
     Release,
 )
 
-ANSWER = KeptAnswer(200, (), b'done')
+ANSWER = StoredAnswer(200, (), b'done')
 
 
 @dataclass
--- a/godwitshunt/claims/tests/test_holder.py
+++ b/godwitshunt/claims/tests/test_holder.py
@@ -5,7 +5,7 @@
 from godwitshunt.claims.claimant import Run, decide_claim, decide_wait
 from godwitshunt.claims.holder import Holder
 from godwitshunt.claims.keys import parse_key
-from godwitshunt.claims.messages import KeptAnswer, RunUnknown
+from godwitshunt.claims.messages import RunUnknown, StoredAnswer
 from godwitshunt.claims.records import MAX_ANSWER_BYTES, MAX_CLAIMS
 from godwitshunt.claims.recovery import (
     NotYet,
@@ -104,7 +104,7 @@
             id='second-finish',
         ),
         pytest.param(
-            [Finish(A, KeptAnswer(200, (), bytes(MAX_ANSWER_BYTES + 1)))],
+            [Finish(A, StoredAnswer(200, (), bytes(MAX_ANSWER_BYTES + 1)))],
             Query(A),
             Verdict.unknown,
             id='too-large',
--- a/godwitshunt/claims/tests/test_task.py
+++ b/godwitshunt/claims/tests/test_task.py
@@ -12,12 +12,12 @@
     ClaimsTask,
     Granted,
     InProgress,
-    KeptAnswer,
     KeyExpired,
     KeyMalformed,
     KeyReused,
     NoMajority,
     RunUnknown,
+    StoredAnswer,
 )
 from godwitshunt.claims.holder import EPOCH_S
 from godwitshunt.configuration.revision import HolderSet
@@ -34,7 +34,9 @@
 from standins.ports import free_address
 
 NAMES = 'abcde'
-ANSWER = KeptAnswer(201, ((b'content-type', b'text/plain'),), b'certificate 7')
+ANSWER = StoredAnswer(
+    201, ((b'content-type', b'text/plain'),), b'certificate 7'
+)
 DIGEST = b'd' * 32
 
 
@@ -242,7 +244,7 @@
 
 @pytest.mark.parametrize(
     'ending',
-    [KeptAnswer(200, (), b'x' * 70_000), 'the upstream broke the connection'],
+    [StoredAnswer(200, (), b'x' * 70_000), 'the upstream broke the connection'],
 )
 async def test_what_is_not_kept_is_unknown(ending):
     """An answer is too large to keep, or broke before its end."""
--- a/godwitshunt/claims/verdicts.py
+++ b/godwitshunt/claims/verdicts.py
@@ -4,7 +4,7 @@
 from enum import IntEnum
 
 from godwitshunt.claims.keys import ClaimKey
-from godwitshunt.claims.messages import KeptAnswer, RunUnknown
+from godwitshunt.claims.messages import RunUnknown, StoredAnswer
 from godwitshunt.claims.standing import Standing
 
 
@@ -53,7 +53,7 @@
     """The attempt ran, and this came of it."""
 
     attempt: Attempt
-    ending: KeptAnswer | RunUnknown
+    ending: StoredAnswer | RunUnknown
 
 
 HolderRequest = Claim | Query | Release | Finish
@@ -89,7 +89,7 @@
         The holder's standing when it gave the verdict.
     vm, attempt : str, int
         Whose attempt is recorded, for `held`.
-    ending : KeptAnswer, RunUnknown or None
+    ending : StoredAnswer, RunUnknown or None
         What came of the attempt, for `answered` and `unknown`.
     """
 
@@ -97,4 +97,4 @@
     standing: Standing | None = None
     vm: str = ''
     attempt: int = 0
-    ending: KeptAnswer | RunUnknown | None = None
+    ending: StoredAnswer | RunUnknown | None = None
--- a/godwitshunt/claims/wire.py
+++ b/godwitshunt/claims/wire.py
@@ -7,7 +7,7 @@
     StandingChanged,
 )
 from godwitshunt.claims.keys import ClaimKey, parse_key
-from godwitshunt.claims.messages import KeptAnswer, RunUnknown
+from godwitshunt.claims.messages import RunUnknown, StoredAnswer
 from godwitshunt.claims.records import ClaimRecord
 from godwitshunt.claims.standing import Standing
 from godwitshunt.claims.verdicts import (
@@ -19,12 +19,12 @@
 )
 from godwitshunt.exceptions import FrameError
 
-Ending = KeptAnswer | RunUnknown | None
+Ending = StoredAnswer | RunUnknown | None
 
 
 def answer_to_wire(ending: Ending) -> ttypes.Answer | None:
     """Return a kept answer's struct; None for other endings."""
-    if not isinstance(ending, KeptAnswer):
+    if not isinstance(ending, StoredAnswer):
         return None
     return ttypes.Answer(
         status=ending.status,
@@ -44,7 +44,7 @@
 ) -> Ending:
     """Read what came of an attempt."""
     if answer is not None:
-        return KeptAnswer(
+        return StoredAnswer(
             status=answer.status or 0,
             headers=tuple(
                 (header.name or b'', header.text or b'')
--- a/godwitshunt/exchange/messages.py
+++ b/godwitshunt/exchange/messages.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from godwitshunt.claims.messages import ClaimOutcome, KeptAnswer
+from godwitshunt.claims.messages import ClaimOutcome, StoredAnswer
 from godwitshunt.exchange.problems import Problem, WholeAnswer
 from godwitshunt.routing.messages import Decision, Forward, Serve
 
@@ -184,7 +184,7 @@
 class SendKept:
     """Send the caller the answer that was kept for its key."""
 
-    answer: KeptAnswer
+    answer: StoredAnswer
 
 
 @dataclass(frozen=True)
--- a/godwitshunt/exchange/ports.py
+++ b/godwitshunt/exchange/ports.py
@@ -7,7 +7,7 @@
 
 from result import Result
 
-from godwitshunt.claims.messages import ClaimOutcome, KeptAnswer
+from godwitshunt.claims.messages import ClaimOutcome, StoredAnswer
 from godwitshunt.configuration.revision import Revision, VmRecord
 from godwitshunt.exchange.problems import Problem
 from godwitshunt.manifest import Objective
@@ -55,7 +55,7 @@
     async def claim(self, key: str, request_digest: bytes) -> ClaimOutcome:
         """Ask a majority of the holders; bounded in time."""
 
-    async def finish(self, key: str, answer: KeptAnswer | None) -> None:
+    async def finish(self, key: str, answer: StoredAnswer | None) -> None:
         """Keep the answer of a run; None where it is unknown."""
 
     async def release(self, key: str) -> None:
--- a/godwitshunt/exchange/request_task.py
+++ b/godwitshunt/exchange/request_task.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from godwitshunt.claims.messages import KeptAnswer
+from godwitshunt.claims.messages import StoredAnswer
 from godwitshunt.exchange import messages as msg
 from godwitshunt.exchange.admission import AdmittedRequest
 from godwitshunt.exchange.attempts import Attempt
@@ -167,7 +167,7 @@
         key = self.admitted.key
         match action:
             case msg.KeepAnswer(answer):
-                kept = KeptAnswer(answer.status, answer.headers, answer.body)
+                kept = StoredAnswer(answer.status, answer.headers, answer.body)
                 await claims.finish(key, kept)
             case msg.AbandonClaim():
                 await claims.finish(key, None)
--- a/godwitshunt/exchange/tests/local_slices.py
+++ b/godwitshunt/exchange/tests/local_slices.py
@@ -8,10 +8,10 @@
     ClaimOutcome,
     Granted,
     InProgress,
-    KeptAnswer,
     KeyMalformed,
     KeyReused,
     RunUnknown,
+    StoredAnswer,
 )
 from godwitshunt.settings import EntrySettings
 
@@ -24,7 +24,7 @@
     """What is known of a key."""
 
     digest: bytes
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
     running: bool = True
 
 
@@ -63,7 +63,7 @@
             return InProgress(self.settings.name)
         return RunUnknown('the attempt broke')
 
-    async def finish(self, key: str, answer: KeptAnswer | None) -> None:
+    async def finish(self, key: str, answer: StoredAnswer | None) -> None:
         """Keep an answer."""
         known = self.claims[key]
         self.claims[key] = replace(known, answer=answer, running=False)
--- a/godwitshunt/exchange/tests/test_lifecycle.py
+++ b/godwitshunt/exchange/tests/test_lifecycle.py
@@ -41,7 +41,7 @@
 SECOND = Serve(UpstreamView('u2', 'kochi', 'chat', PLACE, 1))
 AWAY = Forward('kozhikode', 'z1', PLACE)
 ANSWER = WholeAnswer(200, (), b'answer')
-KEPT = claims.KeptAnswer(200, (), b'kept')
+KEPT = claims.StoredAnswer(200, (), b'kept')
 NOT_RUN = Problem(ProblemKind.overloaded, 'full', retry_after_s=3.0)
 
 REPEATABLE = RequestFacts(repeatable=True)
--- a/godwitshunt/programs/entry_ports.py
+++ b/godwitshunt/programs/entry_ports.py
@@ -4,7 +4,7 @@
 
 from result import Result
 
-from godwitshunt.claims import ClaimOutcome, ClaimsTask, KeptAnswer
+from godwitshunt.claims import ClaimOutcome, ClaimsTask, StoredAnswer
 from godwitshunt.configuration import ConfigurationTask, Revision, VmRecord
 from godwitshunt.exchange.problems import Outcome, Problem, ProblemKind
 from godwitshunt.membership import (
@@ -93,7 +93,7 @@
         """Ask a majority of the holders."""
         return await self.task.claim(key, request_digest, CLAIM_TIMEOUT_S)
 
-    async def finish(self, key: str, answer: KeptAnswer | None) -> None:
+    async def finish(self, key: str, answer: StoredAnswer | None) -> None:
         """Keep the answer of a run; None where it is unknown."""
         if answer is None:
             await self.task.finish_unknown(key, 'no whole answer came')
