--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -428,7 +428,7 @@
                 345,
                 0.0,
             )
-        holder.take_changes()
+        holder.drain_changes()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
--- a/godwitshunt/claims/holder.py
+++ b/godwitshunt/claims/holder.py
@@ -84,7 +84,7 @@
         """Return the standing that votes and replies carry."""
         return Standing(self.incarnation, dict(self.known), self.epoch)
 
-    def take_changes(self) -> tuple[HolderChange, ...]:
+    def drain_changes(self) -> tuple[HolderChange, ...]:
         """Return what is to be written to the journal, once."""
         taken = tuple(self.changes)
         self.changes.clear()
--- a/godwitshunt/claims/holder_table.py
+++ b/godwitshunt/claims/holder_table.py
@@ -128,10 +128,10 @@
         for holder in self.holders.values():
             holder.tick(now_s)
 
-    def take_changes(self) -> Iterator[GenerationChange]:
+    def drain_changes(self) -> Iterator[GenerationChange]:
         """Yield what the journal does not have yet."""
         for generation, holder in self.holders.items():
-            for change in holder.take_changes():
+            for change in holder.drain_changes():
                 yield GenerationChange(generation, change)
 
     def standings(self) -> Iterator[GenerationChange]:
--- a/godwitshunt/claims/holder_task.py
+++ b/godwitshunt/claims/holder_task.py
@@ -169,7 +169,7 @@
 
     def write_changes(self) -> bool:
         """Append what has changed to the journal, if there is one."""
-        changes = tuple(self.table.take_changes())
+        changes = tuple(self.table.drain_changes())
         return self.journal is None or self.journal.write(changes)
 
     def tick(self) -> None:
--- a/godwitshunt/claims/tests/machine.py
+++ b/godwitshunt/claims/tests/machine.py
@@ -121,7 +121,7 @@
 
     def write(self, name: str) -> None:
         """Put what a holder changed into its journal."""
-        self.journals[name].extend(self.holders[name].take_changes())
+        self.journals[name].extend(self.holders[name].drain_changes())
 
     def stamp(self, epoch: int) -> None:
         """Give a caller a key of this epoch."""
