--- a/godwitshunt/claims/ballots.py
+++ b/godwitshunt/claims/ballots.py
@@ -270,7 +270,7 @@
         if running:
             return Wait()
         if running is None:
-            return End(InProgress(vm, silent=True))
+            return End(InProgress(vm, unresponsive=True))
         # It may have ended, and told the holders, since they were asked.
         step = await self.ask_of_rival()
         if not isinstance(step, Wait):
--- a/godwitshunt/claims/messages.py
+++ b/godwitshunt/claims/messages.py
@@ -34,12 +34,12 @@
     ----------
     vm : str
         The entry VM that runs it.
-    silent : bool
+    unresponsive : bool
         True where that VM does not answer: waiting on may be in vain.
     """
 
     vm: str
-    silent: bool = False
+    unresponsive: bool = False
 
 
 @dataclass(frozen=True)
--- a/godwitshunt/claims/tests/test_task.py
+++ b/godwitshunt/claims/tests/test_task.py
@@ -445,7 +445,7 @@
     if restarts:
         assert isinstance(outcome, RunUnknown)
     else:
-        assert outcome == InProgress('a', silent=True)
+        assert outcome == InProgress('a', unresponsive=True)
     assert region.network.timer.now() - before_s < 3
 
 
--- a/godwitshunt/exchange/lifecycle.py
+++ b/godwitshunt/exchange/lifecycle.py
@@ -115,7 +115,7 @@
             return choose(replace(state, holds_claim=True), spend_retry=False)
         case AlreadyAnswered(answer):
             return end(state, msg.SendKept(answer))
-        case InProgress(silent=False) if state.polls < CLAIM_POLLS:
+        case InProgress(unresponsive=False) if state.polls < CLAIM_POLLS:
             waiting = replace(state, polls=state.polls + 1)
             return waiting, (msg.Pause(CLAIM_POLL_S),)
         case KeyMalformed():
