--- a/godwitshunt/configuration/tests/test_distribution.py
+++ b/godwitshunt/configuration/tests/test_distribution.py
@@ -188,7 +188,7 @@
     await deployment.accept(manifest())
     service = deployment.services['c1']
     for subscription in service.subscriptions:
-        if subscription.notice == service.begin_upkeep:
+        if subscription.callback == service.begin_upkeep:
             subscription.cancel()
     kept = KeptRevision(tmp_path)
     record = deployment.add_vm('e5', 'split', 209, kept=kept)
--- a/godwitshunt/timer/service.py
+++ b/godwitshunt/timer/service.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Protocol
 
-Notice = Callable[[], None]
+Callback = Callable[[], None]
 
 
 @dataclass
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    notice : callable
+    callback : callable
         Called without arguments when the time has come.
     period_s : float or None
         Seconds between notices; None for a notice that is given once.
@@ -31,10 +31,10 @@
         deadline would keep its request in memory until its time had come.
     """
 
-    notice: Notice
+    callback: Callback
     period_s: float | None = None
     cancelled: bool = False
-    release: Notice | None = None
+    release: Callback | None = None
 
     def cancel(self) -> None:
         """Give this notice no more, and hold nothing for it."""
@@ -49,10 +49,10 @@
     def now(self) -> float:
         """Return the monotonic time in seconds."""
 
-    def after(self, delay_s: float, notice: Notice) -> Subscription:
+    def after(self, delay_s: float, callback: Callback) -> Subscription:
         """Give a notice once, `delay_s` seconds from now."""
 
-    def every(self, period_s: float, notice: Notice) -> Subscription:
+    def every(self, period_s: float, callback: Callback) -> Subscription:
         """Give a notice each `period_s` seconds, first one period from now."""
 
 
@@ -72,15 +72,15 @@
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
-    def after(self, delay_s: float, notice: Notice) -> Subscription:
+    def after(self, delay_s: float, callback: Callback) -> Subscription:
         """Give a notice once, `delay_s` seconds from now."""
-        subscription = Subscription(notice)
+        subscription = Subscription(callback)
         self.arm(subscription, delay_s)
         return subscription
 
-    def every(self, period_s: float, notice: Notice) -> Subscription:
+    def every(self, period_s: float, callback: Callback) -> Subscription:
         """Give a notice each `period_s` seconds."""
-        subscription = Subscription(notice, period_s)
+        subscription = Subscription(callback, period_s)
         self.arm(subscription, period_s)
         return subscription
 
@@ -108,7 +108,7 @@
             return
         if subscription.period_s is not None:
             self.arm(subscription, subscription.period_s)
-        subscription.notice()
+        subscription.callback()
 
     def close(self) -> None:
         """Give no more notices."""
@@ -139,15 +139,15 @@
         """Return the virtual time in seconds."""
         return self.time_s
 
-    def after(self, delay_s: float, notice: Notice) -> Subscription:
+    def after(self, delay_s: float, callback: Callback) -> Subscription:
         """Give a notice once, `delay_s` virtual seconds from now."""
-        subscription = Subscription(notice)
+        subscription = Subscription(callback)
         self.push(self.time_s + delay_s, subscription)
         return subscription
 
-    def every(self, period_s: float, notice: Notice) -> Subscription:
+    def every(self, period_s: float, callback: Callback) -> Subscription:
         """Give a notice each `period_s` virtual seconds."""
-        subscription = Subscription(notice, period_s)
+        subscription = Subscription(callback, period_s)
         self.push(self.time_s + period_s, subscription)
         return subscription
 
@@ -165,5 +165,5 @@
                 continue
             if subscription.period_s is not None:
                 self.push(due_s + subscription.period_s, subscription)
-            subscription.notice()
+            subscription.callback()
         self.time_s = end_s
