--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -23,7 +23,7 @@
 )
 from benchmarks.sheet_engine import PALLIKKARA, Job, SheetEngine
 from godwitshunt.picking.choices import (
-    Ask,
+    ChoiceRequest,
     HandOver,
     SendHere,
 )
@@ -165,7 +165,7 @@
         demand = job.demand
         homes = self.pattern.short_homes
         quiet = frozenset(self.pattern.engines).difference(homes)
-        ask = Ask(
+        ask = ChoiceRequest(
             route=self.route_of(demand),
             service=SERVICE,
             demand=demand,
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -30,14 +30,14 @@
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.ingress.sending import MARGIN_S, Sender
 from godwitshunt.picking.choices import (
-    Ask,
     Choice,
+    ChoiceRequest,
     HandOver,
     Limited,
     NoPlace,
     SendHere,
 )
-from godwitshunt.picking.picker import Question
+from godwitshunt.picking.picker import DestinationRequest
 from godwitshunt.quarantine import Standing
 from godwitshunt.registry import UpstreamSeen
 from godwitshunt.routing.selection import Demand
@@ -252,13 +252,13 @@
             self.exclude(choice)
         return None
 
-    def question(self) -> Question:
+    def question(self) -> DestinationRequest:
         """Return what the picker is asked."""
         request = self.request
         now_s = self.parts.timer.now()
         service = request.service.name
         avoided = self.parts.neighbours.avoided_for(service, now_s)
-        return Question(
+        return DestinationRequest(
             entry=self.parts.settings.name,
             request=request.id,
             host=request.route.host,
@@ -350,7 +350,7 @@
         """Return this VM's own choice on what is known now."""
         request = self.request
         now_s = self.parts.timer.now()
-        ask = Ask(
+        ask = ChoiceRequest(
             route=request.route,
             service=request.service,
             demand=self.demand(),
--- a/godwitshunt/ingress/parts.py
+++ b/godwitshunt/ingress/parts.py
@@ -11,7 +11,7 @@
 from godwitshunt.ingress.in_force import InForce
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.organisations import Standing
-from godwitshunt.picking.choices import Ask
+from godwitshunt.picking.choices import ChoiceRequest
 from godwitshunt.picking.choosing import (
     Chooser,
 )
@@ -109,7 +109,7 @@
             return 0.0
         return 1 / self.neighbours.count_here()
 
-    def cold_room(self, seen: UpstreamSeen, ask: Ask) -> bool:
+    def cold_room(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
         """Tell whether this VM may send a cold upstream one more request."""
         cold = ask.service.cold_start
         return cold is None or self.budgets.cold.has_room(
--- a/godwitshunt/picking/choices.py
+++ b/godwitshunt/picking/choices.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class ChoiceRequest:
     """What is asked for.
 
     Parameters
--- a/godwitshunt/picking/choosing.py
+++ b/godwitshunt/picking/choosing.py
@@ -6,8 +6,8 @@
 
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.picking.choices import (
-    Ask,
     Choice,
+    ChoiceRequest,
     HandOver,
     NoPlace,
     SendHere,
@@ -80,7 +80,7 @@
 
     def choose(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
     ) -> Choice:
@@ -113,7 +113,7 @@
     def go(
         self,
         chosen: Ranked,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         ranked: tuple[Ranked, ...],
     ) -> Choice:
@@ -136,7 +136,7 @@
 
     def candidates(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
     ) -> Iterator[Candidate]:
@@ -144,7 +144,7 @@
         ejected = self.upstreams.ejected(ask.service.name, ask.now_s)
         return self.usable(ask, view, revision, ask.excluded | ejected)
 
-    def opens_in_s(self, ask: Ask, view: RegistryView) -> float:
+    def opens_in_s(self, ask: ChoiceRequest, view: RegistryView) -> float:
         """Return the seconds until an upstream may take a request again.
 
         Callers come back once or twice: too early, they are refused for good;
@@ -164,7 +164,7 @@
 
     def last_resorts(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
     ) -> Iterator[Candidate]:
@@ -180,7 +180,7 @@
 
     def usable(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
         left_out: frozenset[str],
@@ -199,7 +199,7 @@
 
     def left_out(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
     ) -> tuple[str, ...]:
@@ -222,7 +222,9 @@
             told.append(f'{instance}@{seen.region} {why}')
         return tuple(told)
 
-    def reachable(self, ask: Ask, view: RegistryView) -> frozenset[str]:
+    def reachable(
+        self, ask: ChoiceRequest, view: RegistryView
+    ) -> frozenset[str]:
         """Return the regions that a request may be served in from here."""
         regions = {self.region}
         if not ask.local:
@@ -243,7 +245,7 @@
     def doors(
         self,
         region: str,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
     ) -> list[EntryRecord]:
         """Return the entry VMs of a region that take requests over."""
@@ -257,7 +259,7 @@
     def candidate(
         self,
         seen: UpstreamSeen,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
     ) -> Candidate:
         """Return an upstream as it stands now."""
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -6,8 +6,8 @@
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.picking.choices import Choice
 from godwitshunt.picking.neighbours import Neighbours
-from godwitshunt.picking.picker import Question
-from godwitshunt.picking.reports import Reports
+from godwitshunt.picking.picker import DestinationRequest
+from godwitshunt.picking.reports import ReportBuilder
 from godwitshunt.picking.shown import AttemptShown
 from godwitshunt.picking.wire import choice_from_wire, question_to_wire
 from godwitshunt.registry import RegistryWatch
@@ -31,7 +31,7 @@
     ----------
     neighbours : Neighbours
         This VM's name and region, and what it avoids.
-    reports : Reports
+    reports : ReportBuilder
         This VM's requests, told with each question.
     watch : RegistryWatch
         Knows who the picker is.
@@ -46,7 +46,7 @@
     def __init__(
         self,
         neighbours: Neighbours,
-        reports: Reports,
+        reports: ReportBuilder,
         watch: RegistryWatch,
         links: PeerLinks,
         timer: Timer,
@@ -60,7 +60,7 @@
         self.metrics = metrics
         self.is_due = False
 
-    async def place(self, question: Question) -> Choice | None:
+    async def place(self, question: DestinationRequest) -> Choice | None:
         """Return where a request goes; None where this VM must choose."""
         picker = self.watch.picker()
         if picker is None:
@@ -94,7 +94,9 @@
             self.metrics.count('picking_questions_failed_total', why='unable')
         return choice
 
-    def lose(self, picker: Address, question: Question, reason: str) -> None:
+    def lose(
+        self, picker: Address, question: DestinationRequest, reason: str
+    ) -> None:
         """Ask this picker no more until it answers a poll."""
         self.metrics.count('picking_questions_failed_total', why='silent')
         log_change(
--- a/godwitshunt/picking/filters.py
+++ b/godwitshunt/picking/filters.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from godwitshunt.configuration.revision import Revision
-from godwitshunt.picking.choices import Ask
+from godwitshunt.picking.choices import ChoiceRequest
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import UpstreamSeen
 from godwitshunt.routing.selection import Candidate
@@ -17,7 +17,7 @@
 REQUESTS_A_SLOT = 2.0
 
 
-def always(seen: UpstreamSeen, ask: Ask) -> bool:
+def always(seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
     """Let a cold upstream get any request."""
     return True
 
@@ -38,9 +38,9 @@
 
     region: str
     upstreams: Upstreams
-    cold_room: Callable[[UpstreamSeen, Ask], bool] = always
+    cold_room: Callable[[UpstreamSeen, ChoiceRequest], bool] = always
 
-    def may_be_cold(self, seen: UpstreamSeen, ask: Ask) -> bool:
+    def may_be_cold(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
         """Tell whether an upstream must get no more than cold ones bear.
 
         One that could not be reached may have crashed and started again under
@@ -58,7 +58,7 @@
     def refusal(
         self,
         seen: UpstreamSeen,
-        ask: Ask,
+        ask: ChoiceRequest,
         revision: Revision,
     ) -> str | None:
         """Return why an upstream would take no request now; None if it would.
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -18,8 +18,8 @@
 from godwitshunt.manifest import Route, Service
 from godwitshunt.organisations import LimitPool, Standing
 from godwitshunt.picking.choices import (
-    Ask,
     Choice,
+    ChoiceRequest,
     HandOver,
     Limited,
     NoPlace,
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Question:
+class DestinationRequest:
     """What an entry VM asks for.
 
     Parameters
@@ -191,7 +191,7 @@
 
     def give(
         self,
-        question: Question,
+        question: DestinationRequest,
         known: Known,
         now_s: float,
     ) -> Given | Unable:
@@ -216,7 +216,7 @@
 
     def limit_wait_s(
         self,
-        question: Question,
+        question: DestinationRequest,
         standing: Standing,
         now_s: float,
     ) -> float:
@@ -229,19 +229,19 @@
         name, cost = question.organisation, question.cost
         return self.limits.wait_s(name, cost, standing, now_s)
 
-    def spend_limit(self, question: Question, now_s: float) -> None:
+    def spend_limit(self, question: DestinationRequest, now_s: float) -> None:
         """Count a request that is given a place, here or elsewhere."""
         if question.organisation and not question.local:
             self.limits.take(question.organisation, question.cost, now_s)
 
     def ask(
         self,
-        question: Question,
+        question: DestinationRequest,
         route: Route,
         service: Service,
         known: Known,
         now_s: float,
-    ) -> Ask:
+    ) -> ChoiceRequest:
         """Return what is asked of the chooser."""
         demand = replace(
             question.demand,
@@ -249,7 +249,7 @@
             objective_s=route.objective_s,
         )
         quiet = known.routes.quiet.get((service.name, route.rank), frozenset())
-        return Ask(
+        return ChoiceRequest(
             route=route,
             service=service,
             demand=demand,
@@ -262,7 +262,7 @@
             entry=question.entry,
         )
 
-    def cold_room(self, seen: UpstreamSeen, ask: Ask) -> bool:
+    def cold_room(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
         """Tell whether a cold upstream may get one more request."""
         cold = ask.service.cold_start
         return cold is None or self.cold.has_room(
@@ -272,7 +272,7 @@
             ask.now_s,
         )
 
-    def spend_cold(self, choice: SendHere, ask: Ask) -> None:
+    def spend_cold(self, choice: SendHere, ask: ChoiceRequest) -> None:
         """Take one request from a cold upstream's budget."""
         cold = ask.service.cold_start
         if choice.is_cold and cold is not None:
@@ -285,7 +285,7 @@
 
     def count(
         self,
-        question: Question,
+        question: DestinationRequest,
         service: Service,
         choice: Choice,
         now_s: float,
@@ -323,7 +323,7 @@
             self.prefixes.note(read)
 
 
-def route_for(question: Question, routes: RouteTable) -> Route | None:
+def route_for(question: DestinationRequest, routes: RouteTable) -> Route | None:
     """Return the route of a question, as it holds for its organisation."""
     route = routes.of(question.host, question.path_prefix)
     if route is None or not question.organisation:
--- a/godwitshunt/picking/reports.py
+++ b/godwitshunt/picking/reports.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Reports:
+class ReportBuilder:
     """Makes the reports of one process.
 
     Parameters
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -20,10 +20,10 @@
 from godwitshunt.picking.limits import PickerLimits
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.picker import (
+    DestinationRequest,
     Given,
     Known,
     Picker,
-    Question,
     Unable,
     service_of,
 )
@@ -220,7 +220,9 @@
                 health = self.picker.upstreams.of(instance)
                 health.note_reported(name, None, None)
 
-    def give(self, question: Question, now_s: float) -> Given | Unable:
+    def give(
+        self, question: DestinationRequest, now_s: float
+    ) -> Given | Unable:
         """Return where a request goes."""
         if not self.registry.gives_places:
             return Unable('what runs is not known yet')
@@ -252,7 +254,7 @@
 
     def note(
         self,
-        question: Question,
+        question: DestinationRequest,
         given: Given | Unable,
         holders: frozenset[str],
     ) -> None:
--- a/godwitshunt/picking/tests/region.py
+++ b/godwitshunt/picking/tests/region.py
@@ -19,8 +19,8 @@
 )
 from godwitshunt.picking.client import PickerClient
 from godwitshunt.picking.neighbours import Neighbours
-from godwitshunt.picking.picker import Question
-from godwitshunt.picking.reports import Reports
+from godwitshunt.picking.picker import DestinationRequest
+from godwitshunt.picking.reports import ReportBuilder
 from godwitshunt.picking.service import LEARNS_S, PickerService
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry.records import UpstreamAnnounced
@@ -88,13 +88,13 @@
     """An entry VM: whom it asks, and what it has at upstreams."""
 
     watch: RegistryWatch
-    reports: Reports
+    reports: ReportBuilder
     client: PickerClient
     sent: int = 0
 
     async def ask(self, demand: Demand = SHORT, **changes):
         """Ask for a place."""
-        question = Question(
+        question = DestinationRequest(
             entry=self.reports.session,
             request='q-1',
             host=HOST,
@@ -159,7 +159,7 @@
         """Return an entry VM that asks for places."""
         watch = self.entry(number, domain)
         name = f'e-{number}'
-        reports = Reports(
+        reports = ReportBuilder(
             name,
             Upstreams(),
             watch.own_prefixes,
--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -8,7 +8,7 @@
 
 from godwitshunt.manifest import ColdStart
 from godwitshunt.picking.choices import (
-    Ask,
+    ChoiceRequest,
     HandOver,
     NoPlace,
     SendHere,
@@ -50,14 +50,14 @@
     )
 
 
-def ask(demand: Demand, **changes) -> Ask:
+def ask(demand: Demand, **changes) -> ChoiceRequest:
     """Return a question for a route without homes."""
     route = SimpleNamespace(homes=(), objective_s=0.8, rank=0)
     service = SimpleNamespace(name='llm', engine=True, cold_start=None)
-    return Ask(route, service, demand, 5.0, NOW_S, **changes)
+    return ChoiceRequest(route, service, demand, 5.0, NOW_S, **changes)
 
 
-def choose(asked: Ask, known: RegistryView):
+def choose(asked: ChoiceRequest, known: RegistryView):
     """Return what a VM of the first region chooses."""
     chooser = Chooser(
         'kochi',
--- a/godwitshunt/picking/wire.py
+++ b/godwitshunt/picking/wire.py
@@ -10,7 +10,7 @@
     NoPlace,
     SendHere,
 )
-from godwitshunt.picking.picker import Given, Question, Unable
+from godwitshunt.picking.picker import DestinationRequest, Given, Unable
 from godwitshunt.registry import UpstreamSeen
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.views import heard
@@ -36,7 +36,7 @@
 
 
 def question_to_wire(
-    question: Question,
+    question: DestinationRequest,
     report: ttypes.LoadReport,
 ) -> ttypes.PlaceAsked:
     """Return what an entry VM asks for as a struct."""
@@ -59,7 +59,7 @@
     )
 
 
-def question_from_wire(asked: ttypes.PlaceAsked) -> Question:
+def question_from_wire(asked: ttypes.PlaceAsked) -> DestinationRequest:
     """Read what an entry VM asks for.
 
     Raises
@@ -70,7 +70,7 @@
     needed = (asked.entry_name, asked.report, asked.remaining_ms)
     if any(one is None for one in needed):
         raise FrameError('PlaceAsked: a field is missing')
-    return Question(
+    return DestinationRequest(
         entry=asked.entry_name,
         request=asked.request_id or '',
         host=asked.host or '',
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -14,7 +14,7 @@
 from godwitshunt.ingress import HeaderNames, IngressTask
 from godwitshunt.picking.client import PickerClient
 from godwitshunt.picking.neighbours import Neighbours
-from godwitshunt.picking.reports import Reports
+from godwitshunt.picking.reports import ReportBuilder
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.programs.start import (
     make_links,
@@ -76,7 +76,7 @@
             self.metrics,
         )
         self.watch.quarantine.length_s = settings.bounds.quarantine_s
-        self.reports = Reports(
+        self.reports = ReportBuilder(
             self.session,
             Upstreams(),
             self.watch.own_prefixes,
