--- a/benchmarks/crashing_requests.py
+++ b/benchmarks/crashing_requests.py
@@ -184,7 +184,7 @@
 
     def send(self, asked: Asked) -> None:
         """Send a request to an upstream, or refuse it."""
-        is_kept_back = asked.fingerprint in self.table.guilty()
+        is_kept_back = asked.fingerprint in self.table.confirmed()
         if not asked.is_cause:
             self.played.sent += 1
             self.played.turned_away += is_kept_back
@@ -232,7 +232,7 @@
         for asked, since_s in upstream.running.values():
             loss = Loss(upstream.name, self.now_s, self.now_s - since_s)
             lost = LostRequest(asked.fingerprint, '', 5, loss)
-            self.at(self.day.news_s, self.table.note_loss, lost)
+            self.at(self.day.news_s, self.table.record_loss, lost)
             if asked.left:
                 again = Asked(asked.content, asked.is_cause, asked.left - 1)
                 self.at(0.01, self.send, again)
--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -81,7 +81,7 @@
     def of_upstream(self, made: UpstreamAttempt) -> None:
         """Learn from an attempt at an upstream of this region."""
         if isinstance(made.outcome, Lost):
-            self.note_loss(made, made.outcome)
+            self.record_loss(made, made.outcome)
         if isinstance(made.outcome, (Answered, Streamed, Failed)):
             self.note_survival()
         shown = made.shown
@@ -104,7 +104,7 @@
         if shown is Shown.answered:
             self.count_prompt(choice)
 
-    def note_loss(self, made: UpstreamAttempt, lost: Lost) -> None:
+    def record_loss(self, made: UpstreamAttempt, lost: Lost) -> None:
         """Note that an attempt ended without a whole answer.
 
         Repeats of a request have one fingerprint, whatever their ids. One
@@ -112,7 +112,7 @@
         """
         told = made.choice.seen.told
         if made.attempt.closed and not self.leaves(told):
-            self.parts.witness.note_loss(
+            self.parts.witness.record_loss(
                 self.request,
                 place_of(made.choice),
                 told.address,
@@ -170,7 +170,7 @@
         entry = choice.entry
         neighbours = self.parts.neighbours
         if isinstance(outcome, Lost) and attempt.closed:
-            self.parts.witness.note_loss(
+            self.parts.witness.record_loss(
                 self.request,
                 place_of(choice),
                 entry.hop,
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -186,21 +186,21 @@
         if not quarantine.knows_length(len(self.request.http.body)):
             return None
         fingerprint = self.request.fingerprint
-        believed = quarantine.believed(fingerprint, is_probe=self.is_probe)
-        if believed.standing is Standing.clear:
+        assessment = quarantine.assessment(fingerprint, is_probe=self.is_probe)
+        if assessment.standing is Standing.clear:
             return None
-        if believed.standing is Standing.quarantined:
-            self.retry_after_s = believed.wait_s
+        if assessment.standing is Standing.quarantined:
+            self.retry_after_s = assessment.wait_s
             self.is_quarantined = True
             self.parts.metrics.count(
                 'quarantine_refused_total',
                 service=self.request.service.name,
             )
-            return self.progress.keep_back(believed.reason)
+            return self.progress.keep_back(assessment.reason)
         if self.progress.runs:
-            self.progress.reasons.append(believed.reason)
+            self.progress.reasons.append(assessment.reason)
             return self.progress.give_up()
-        if believed.standing is Standing.on_probation:
+        if assessment.standing is Standing.on_probation:
             self.is_probe = True
             quarantine.begin_probe(fingerprint)
         return None
--- a/godwitshunt/ingress/tests/test_quarantined_life.py
+++ b/godwitshunt/ingress/tests/test_quarantined_life.py
@@ -49,7 +49,7 @@
         """Let an upstream end under the request, a second later."""
         self.now_s += 1
         loss = Loss(place, self.now_s, 0.1)
-        self.quarantine.note_loss(LostRequest(LETHAL, '', 5, loss))
+        self.quarantine.record_loss(LostRequest(LETHAL, '', 5, loss))
 
 
 @pytest.mark.parametrize(
--- a/godwitshunt/ingress/tests/test_witness.py
+++ b/godwitshunt/ingress/tests/test_witness.py
@@ -54,7 +54,7 @@
     async def lose(self, place='i-1', **fields):
         """Lose a request at the place, and let it be looked at."""
         address = Address(host=HOST, port=self.port)
-        self.witness.note_loss(request(**fields), place, address, 0.1)
+        self.witness.record_loss(request(**fields), place, address, 0.1)
         await self.witness.settled(place)
 
     @property
--- a/godwitshunt/ingress/witness.py
+++ b/godwitshunt/ingress/witness.py
@@ -57,7 +57,7 @@
     waiting: dict[str, list[LostRequest]] = field(default_factory=dict)
     shown: dict[str, PlaceShown] = field(default_factory=dict)
 
-    def note_loss(
+    def record_loss(
         self,
         request: RoutedRequest,
         place: str,
@@ -118,7 +118,7 @@
     def judge(self, lost: LostRequest, *, ended: bool) -> None:
         """Hold a loss against a request where its place ended."""
         if ended:
-            self.quarantine.note_loss(lost)
+            self.quarantine.record_loss(lost)
 
     def forget(self) -> None:
         """Drop what was found too long ago to hold."""
--- a/godwitshunt/quarantine/__init__.py
+++ b/godwitshunt/quarantine/__init__.py
@@ -10,20 +10,20 @@
 from godwitshunt.quarantine.records import Loss, SuspectRecord
 from godwitshunt.quarantine.standing import (
     QUARANTINE_S,
-    Believed,
+    Assessment,
     Quarantine,
     Standing,
 )
 from godwitshunt.quarantine.table import (
-    SUSPECTED_PLACES,
+    SUSPECTED_CRASHES,
     LostRequest,
-    SuspectNews,
     SuspectTable,
+    SuspectUpdate,
 )
 from godwitshunt.quarantine.verdicts import (
-    GUILTY_MOMENTS,
-    GUILTY_PLACES,
-    find_guilty,
+    CONFIRMED_CRASH_TIMES,
+    CONFIRMED_CRASHES,
+    find_confirmed,
 )
 
 __all__ = [
@@ -32,13 +32,13 @@
     'LostRequest',
     'SuspectRecord',
     'SuspectTable',
-    'SuspectNews',
-    'SUSPECTED_PLACES',
-    'GUILTY_PLACES',
-    'GUILTY_MOMENTS',
-    'find_guilty',
+    'SuspectUpdate',
+    'SUSPECTED_CRASHES',
+    'CONFIRMED_CRASHES',
+    'CONFIRMED_CRASH_TIMES',
+    'find_confirmed',
     'Quarantine',
     'QUARANTINE_S',
     'Standing',
-    'Believed',
+    'Assessment',
 ]
--- a/godwitshunt/quarantine/records.py
+++ b/godwitshunt/quarantine/records.py
@@ -64,13 +64,13 @@
     Examples
     --------
     >>> record = SuspectRecord(Fingerprint(bytes(16)), '', 5)
-    >>> record.take_loss(Loss('i-1', at_s=1.0, exposure_s=0.1))
+    >>> record.add_loss(Loss('i-1', at_s=1.0, exposure_s=0.1))
     True
-    >>> record.take_loss(Loss('i-2', at_s=2.0, exposure_s=0.1))
+    >>> record.add_loss(Loss('i-2', at_s=2.0, exposure_s=0.1))
     True
     >>> record.moments(), record.moments(explained={'i-1'})
     (2, 1)
-    >>> record.take_clearance('a-1', at_s=3.0), record.moments()
+    >>> record.add_clearance('a-1', at_s=3.0), record.moments()
     (True, 0)
     """
 
@@ -94,7 +94,7 @@
             key=moment,
         )
 
-    def take_loss(self, loss: Loss) -> bool:
+    def add_loss(self, loss: Loss) -> bool:
         """Take a loss; False where it changes nothing.
 
         Of two words of one loss the earlier counts. Each process that passes
@@ -111,7 +111,7 @@
         self.losses.pop(oldest.place)
         return oldest is not loss
 
-    def take_clearance(self, name: str, at_s: float) -> bool:
+    def add_clearance(self, name: str, at_s: float) -> bool:
         """Take a moment until which nothing counts; False for nothing new.
 
         Of two words of one moment the earlier counts, as with a loss.
@@ -127,9 +127,9 @@
 
     def join(self, other: 'SuspectRecord') -> bool:
         """Take all that another process knows; False for nothing new."""
-        changes = list(map(self.take_loss, other.losses.values()))
+        changes = list(map(self.add_loss, other.losses.values()))
         changes.extend(
-            self.take_clearance(name, at_s)
+            self.add_clearance(name, at_s)
             for name, at_s in other.clearances.items()
         )
         return any(changes)
--- a/godwitshunt/quarantine/standing.py
+++ b/godwitshunt/quarantine/standing.py
@@ -9,7 +9,7 @@
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import SuspectRecord
 from godwitshunt.quarantine.table import (
-    SUSPECTED_PLACES,
+    SUSPECTED_CRASHES,
     LostRequest,
     SuspectTable,
 )
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Believed:
+class Assessment:
     """A standing with its reasons.
 
     Parameters
@@ -63,7 +63,7 @@
         return f'{self.standing.value}: lost to {", ".join(self.places)}'
 
 
-CLEAR = Believed(Standing.clear)
+CLEAR = Assessment(Standing.clear)
 
 
 @dataclass
@@ -101,10 +101,10 @@
     session: str = field(default_factory=draw_session)
     numbers: Iterator[int] = field(default_factory=count)
 
-    def note_loss(self, lost: LostRequest) -> None:
+    def record_loss(self, lost: LostRequest) -> None:
         """Take a loss that was seen here."""
-        self.own.note_loss(lost)
-        if self.table.note_loss(lost):
+        self.own.record_loss(lost)
+        if self.table.record_loss(lost):
             self.metrics.count('quarantine_losses_total')
             self.tell_changes()
 
@@ -135,12 +135,12 @@
         """Tell whether a request of a length may be a suspected one."""
         return self.table.knows_length(body_bytes)
 
-    def believed(
+    def assessment(
         self,
         fingerprint: Fingerprint,
         *,
         is_probe: bool = False,
-    ) -> Believed:
+    ) -> Assessment:
         """Return what is held against a request now.
 
         Parameters
@@ -152,16 +152,16 @@
         if record is None:
             return CLEAR
         places = tuple(one.place for one in record.held())
-        if fingerprint not in self.table.guilty():
-            if len(places) < SUSPECTED_PLACES:
+        if fingerprint not in self.table.confirmed():
+            if len(places) < SUSPECTED_CRASHES:
                 return CLEAR
-            return Believed(Standing.suspected, places)
+            return Assessment(Standing.suspected, places)
         wait_s = record.last_loss_s() + self.length_s - self.now()
         if wait_s > 0:
-            return Believed(Standing.quarantined, places, wait_s)
+            return Assessment(Standing.quarantined, places, wait_s)
         if fingerprint in self.probing and not is_probe:
-            return Believed(Standing.quarantined, places, self.length_s)
-        return Believed(Standing.on_probation, places)
+            return Assessment(Standing.quarantined, places, self.length_s)
+        return Assessment(Standing.on_probation, places)
 
     def begin_probe(self, fingerprint: Fingerprint) -> None:
         """Try a request on probation; others like it wait for its end."""
@@ -189,7 +189,7 @@
         for table in (self.table, self.own):
             table.forget(until_s)
         self.tell_changes()
-        self.metrics.gauge('quarantine_requests', len(self.table.guilty()))
+        self.metrics.gauge('quarantine_requests', len(self.table.confirmed()))
 
     def tell_changes(self) -> None:
         """Log each change of what is held against a request."""
@@ -201,17 +201,17 @@
 
     def tell_change(self, fingerprint: Fingerprint) -> None:
         """Log a change of what is held against one request."""
-        believed = self.believed(fingerprint)
+        assessment = self.assessment(fingerprint)
         before = self.told.get(fingerprint, Standing.clear)
-        if believed.standing is before:
+        if assessment.standing is before:
             return
-        self.told[fingerprint] = believed.standing
-        if believed.standing is Standing.clear:
+        self.told[fingerprint] = assessment.standing
+        if assessment.standing is Standing.clear:
             self.told.pop(fingerprint)
         log_change(
             'quarantine:standing_changed',
             fingerprint=str(fingerprint),
-            now=believed.standing.value,
+            now=assessment.standing.value,
             before=before.value,
             **self.evidence(fingerprint),
         )
--- a/godwitshunt/quarantine/table.py
+++ b/godwitshunt/quarantine/table.py
@@ -5,14 +5,14 @@
 
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import Loss, SuspectRecord
-from godwitshunt.quarantine.verdicts import find_guilty
+from godwitshunt.quarantine.verdicts import find_confirmed
 
 # Requests that are remembered. An engine that ends takes up to its slots of
 # requests with it; this holds twenty such ends of 48.
 MOST_RECORDS = 1024
 # Losses from which on a request is told to entry VMs, which take note of its
 # answers from then on.
-SUSPECTED_PLACES = 2
+SUSPECTED_CRASHES = 2
 # Records that one message tells, at most; the rest come with the next one.
 MOST_TOLD = 256
 NEVER_JUDGED = -1
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class SuspectNews:
+class SuspectUpdate:
     """What is new in a table.
 
     Parameters
@@ -57,8 +57,8 @@
     >>> lethal = Fingerprint(bytes(16))
     >>> for number in range(3):
     ...     loss = Loss(f'i-{number}', float(number), 0.1)
-    ...     _ = table.note_loss(LostRequest(lethal, '', 5, loss))
-    >>> lethal in table.guilty()
+    ...     _ = table.record_loss(LostRequest(lethal, '', 5, loss))
+    >>> lethal in table.confirmed()
     True
     >>> table.knows_length(5), table.knows_length(6)
     (True, False)
@@ -71,14 +71,14 @@
     judged: dict[Fingerprint, int] = field(default_factory=dict)
     lengths: frozenset[int] = frozenset()
 
-    def note_loss(self, lost: LostRequest) -> bool:
+    def record_loss(self, lost: LostRequest) -> bool:
         """Take a loss that was seen here; False where it is known."""
         record = self.records.get(lost.fingerprint) or SuspectRecord(
             lost.fingerprint,
             lost.organisation,
             lost.body_bytes,
         )
-        if not record.take_loss(lost.loss):
+        if not record.add_loss(lost.loss):
             return False
         self.keep(record)
         self.trim()
@@ -105,7 +105,7 @@
         record = self.records.get(fingerprint)
         if record is None or not record.held():
             return False
-        record.take_clearance(name, at_s)
+        record.add_clearance(name, at_s)
         self.keep(record)
         return True
 
@@ -171,18 +171,18 @@
             and (len(one.losses) >= least_losses or one.clearances)
         )
 
-    def news(self, version: int, least_losses: int = 0) -> SuspectNews:
+    def news(self, version: int, least_losses: int = 0) -> SuspectUpdate:
         """Return what one message tells of the records after a version."""
         if version >= self.version:
-            return SuspectNews((), self.version)
+            return SuspectUpdate((), self.version)
         records = sorted(
             self.since(version, least_losses),
             key=lambda one: one.version,
         )
         if len(records) <= MOST_TOLD:
-            return SuspectNews(tuple(records), self.version)
+            return SuspectUpdate(tuple(records), self.version)
         told = tuple(records[:MOST_TOLD])
-        return SuspectNews(told, told[-1].version)
+        return SuspectUpdate(told, told[-1].version)
 
     def has_losses(self, fingerprint: Fingerprint) -> bool:
         """Tell whether a request was lost before."""
@@ -194,7 +194,7 @@
         self.judge()
         return body_bytes in self.lengths
 
-    def guilty(self) -> dict[Fingerprint, int]:
+    def confirmed(self) -> dict[Fingerprint, int]:
         """Return the requests that crash upstreams, with their ends."""
         self.judge()
         return self.judged
@@ -204,11 +204,11 @@
         if self.judged_version == self.version:
             return
         self.judged_version = self.version
-        self.judged = find_guilty(self.records.values())
+        self.judged = find_confirmed(self.records.values())
         self.lengths = frozenset(
             one.body_bytes
             for one in self.records.values()
-            if len(one.held()) >= SUSPECTED_PLACES
+            if len(one.held()) >= SUSPECTED_CRASHES
         )
 
     def forget(self, until_s: float) -> None:
--- a/godwitshunt/quarantine/tests/test_joining.py
+++ b/godwitshunt/quarantine/tests/test_joining.py
@@ -50,15 +50,15 @@
     """Two processes of which one keeps a request back, and one does not."""
     first, second = SuspectTable(), SuspectTable()
     for one in told:
-        first.note_loss(one)
+        first.record_loss(one)
     shuffled = [*told, *told]
     Random(seed).shuffle(shuffled)
     for one in shuffled:
-        second.note_loss(one)
+        second.record_loss(one)
     second.join(first.since(0))
     first.join(second.since(0))
     assert shown(first) == shown(second)
-    assert first.guilty() == second.guilty()
+    assert first.confirmed() == second.confirmed()
 
 
 @given(told=st.lists(losses, max_size=20))
@@ -66,7 +66,7 @@
     """Two processes that tell one another the same for ever."""
     first, second = SuspectTable(), SuspectTable()
     for one in told:
-        first.note_loss(one)
+        first.record_loss(one)
     second.join(first.since(0))
     assert not first.join(second.since(0))
     version = second.version
@@ -78,7 +78,7 @@
     """A loss that looks younger with each way, and lives for ever."""
     first, second = SuspectTable(), SuspectTable()
     lethal = Fingerprint(bytes(16))
-    first.note_loss(LostRequest(lethal, '', 5, Loss('i-1', 10.0, 0.1)))
+    first.record_loss(LostRequest(lethal, '', 5, Loss('i-1', 10.0, 0.1)))
     now_s = 10.0
     for _ in range(100):
         for one, other in ((first, second), (second, first)):
@@ -98,7 +98,7 @@
     table, heard = SuspectTable(), SuspectTable()
     for number in range(700):
         name = Fingerprint(number.to_bytes(16, 'big'))
-        table.note_loss(LostRequest(name, '', 5, Loss('i-1', 1.0, 0.1)))
+        table.record_loss(LostRequest(name, '', 5, Loss('i-1', 1.0, 0.1)))
     version, rounds = 0, 0
     while version < table.version:
         news = table.news(version)
@@ -115,12 +115,12 @@
     table = SuspectTable(most=100)
     for number in range(100):
         name = Fingerprint(number.to_bytes(16, 'big'))
-        table.note_loss(LostRequest(name, 'o-1', 5, Loss('i-1', 1.0, 0.1)))
+        table.record_loss(LostRequest(name, 'o-1', 5, Loss('i-1', 1.0, 0.1)))
     other = SuspectTable()
     for number in range(200, 450):
         name = Fingerprint(number.to_bytes(16, 'big'))
         organisation = f'o-{number % 2 + 2}'
-        other.note_loss(
+        other.record_loss(
             LostRequest(name, organisation, 5, Loss('i-1', 2.0, 0.1))
         )
     table.join(other.since(0))
--- a/godwitshunt/quarantine/tests/test_machine.py
+++ b/godwitshunt/quarantine/tests/test_machine.py
@@ -7,8 +7,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from godwitshunt.quarantine import (
-    GUILTY_MOMENTS,
-    GUILTY_PLACES,
+    CONFIRMED_CRASH_TIMES,
+    CONFIRMED_CRASHES,
     Fingerprint,
     Loss,
     LostRequest,
@@ -67,7 +67,7 @@
         for fingerprint, exposure_s in ((LETHAL, 0.1), (POPULAR, 0.5)):
             loss = Loss(f'i-{self.places}', at_s, exposure_s)
             lost = LostRequest(fingerprint, '', 5, loss)
-            self.quarantines[process].note_loss(lost)
+            self.quarantines[process].record_loss(lost)
         self.lethal_ends.append(at_s)
 
     @rule(process=processes)
@@ -108,16 +108,16 @@
 
     def may_be_guilty(self) -> bool:
         """Tell whether enough places ended at enough moments."""
-        if self.places < GUILTY_PLACES:
+        if self.places < CONFIRMED_CRASHES:
             return False
-        return self.moments() >= GUILTY_MOMENTS
+        return self.moments() >= CONFIRMED_CRASH_TIMES
 
     @invariant()
     def nobody_is_held_guilty_by_fewer_ends(self):
         """Three places that ended, at two moments, are the least."""
         if not self.may_be_guilty():
             for one in self.quarantines:
-                assert not one.table.guilty()
+                assert not one.table.confirmed()
 
     @invariant()
     def one_that_is_answered_now_is_clear_here(self):
@@ -125,17 +125,17 @@
         for one in self.quarantines:
             record = one.table.records.get(POPULAR)
             if record is not None and record.cleared_s == self.now_s:
-                assert one.believed(POPULAR).standing is Standing.clear
+                assert one.assessment(POPULAR).standing is Standing.clear
 
     def teardown(self):
         """Let all hear of all: then all believe the same."""
         for _ in range(PROCESSES + 1):
             for teller, hearer in permutations(range(PROCESSES), 2):
                 self.tell(teller, hearer)
-        guilty = [set(one.table.guilty()) for one in self.quarantines]
-        assert all(one == guilty[0] for one in guilty)
+        confirmed = [set(one.table.confirmed()) for one in self.quarantines]
+        assert all(one == confirmed[0] for one in confirmed)
         if self.may_be_guilty() and not self.restarts:
-            assert LETHAL in guilty[0]
+            assert LETHAL in confirmed[0]
         told = [one.table.version for one in self.quarantines]
         for teller, hearer in permutations(range(PROCESSES), 2):
             self.tell(teller, hearer)
--- a/godwitshunt/quarantine/tests/test_standing.py
+++ b/godwitshunt/quarantine/tests/test_standing.py
@@ -44,12 +44,12 @@
 def lose(quarantine, place):
     """Let an upstream end under the request."""
     loss = Loss(place, quarantine.now(), 0.1)
-    quarantine.note_loss(LostRequest(LETHAL, '', 5, loss))
+    quarantine.record_loss(LostRequest(LETHAL, '', 5, loss))
 
 
 def standing(quarantine, **fields):
     """Return what is held against the request."""
-    return quarantine.believed(LETHAL, **fields).standing
+    return quarantine.assessment(LETHAL, **fields).standing
 
 
 def test_quarantine_ends_and_begins_again_with_one_more_end(
@@ -58,7 +58,7 @@
 ):
     """A request that ends three more upstreams after each quarantine."""
     assert standing(quarantine) is Standing.quarantined
-    assert quarantine.believed(LETHAL).wait_s == LENGTH_S
+    assert quarantine.assessment(LETHAL).wait_s == LENGTH_S
     clock.now_s = LENGTH_S + 1
     quarantine.tick()
     assert standing(quarantine) is Standing.on_probation
--- a/godwitshunt/quarantine/tests/test_verdicts.py
+++ b/godwitshunt/quarantine/tests/test_verdicts.py
@@ -19,7 +19,7 @@
     """Note a loss."""
     told = {'organisation': '', 'body_bytes': 5, **fields}
     loss = Loss(place, at_s, exposure_s)
-    table.note_loss(LostRequest(fingerprint, loss=loss, **told))
+    table.record_loss(LostRequest(fingerprint, loss=loss, **told))
 
 
 def test_third_upstream_that_ends_shows_the_request():
@@ -28,7 +28,7 @@
     found = []
     for number in range(4):
         lose(table, LETHAL, f'i-{number}', number)
-        found.append(LETHAL in table.guilty())
+        found.append(LETHAL in table.confirmed())
     assert found == [False, False, True, True]
 
 
@@ -37,7 +37,7 @@
     table = SuspectTable()
     for number in range(5):
         lose(table, LETHAL, 'i-1', number)
-    assert not table.guilty()
+    assert not table.confirmed()
 
 
 def test_places_that_end_at_one_moment_show_no_cause():
@@ -45,7 +45,7 @@
     table = SuspectTable()
     for number in range(6):
         lose(table, BYSTANDER, f'i-{number}', number / 50)
-    assert not table.guilty()
+    assert not table.confirmed()
 
 
 def test_copies_sent_at_once_are_found_by_their_second_moment():
@@ -54,7 +54,7 @@
     for number in range(3):
         lose(table, LETHAL, f'i-{number}', number / 50)
     lose(table, LETHAL, 'j-1', 5)
-    assert LETHAL in table.guilty()
+    assert LETHAL in table.confirmed()
 
 
 def test_ends_that_follow_one_another_closely_count():
@@ -62,7 +62,7 @@
     table = SuspectTable()
     for number in range(5):
         lose(table, LETHAL, f'i-{number}', number * 0.15)
-    assert LETHAL in table.guilty()
+    assert LETHAL in table.confirmed()
 
 
 def test_bystander_of_each_end_is_not_held_guilty_with_the_cause():
@@ -71,7 +71,7 @@
     for number in range(3):
         lose(table, BYSTANDER, f'i-{number}', number, LONG_S)
         lose(table, LETHAL, f'i-{number}', number, SHORT_S)
-    assert table.guilty() == {LETHAL: 3}
+    assert table.confirmed() == {LETHAL: 3}
 
 
 def test_bystander_held_guilty_first_is_released_by_the_next_end():
@@ -80,9 +80,9 @@
     for number in range(3):
         lose(table, BYSTANDER, f'i-{number}', number, SHORT_S)
         lose(table, LETHAL, f'i-{number}', number, LONG_S)
-    assert table.guilty() == {BYSTANDER: 3}
+    assert table.confirmed() == {BYSTANDER: 3}
     lose(table, LETHAL, 'i-4', 4)
-    assert table.guilty() == {LETHAL: 4}
+    assert table.confirmed() == {LETHAL: 4}
 
 
 def test_two_lethal_requests_are_both_found():
@@ -92,11 +92,11 @@
         lose(table, LETHAL, f'i-{number}', number)
         lose(table, OTHER, f'i-{number}', number, LONG_S)
     lose(table, OTHER, 'j-1', 4)
-    assert set(table.guilty()) == {OTHER}
+    assert set(table.confirmed()) == {OTHER}
     lose(table, OTHER, 'j-2', 5)
     lose(table, LETHAL, 'j-3', 6)
     lose(table, LETHAL, 'j-4', 7)
-    assert set(table.guilty()) == {LETHAL, OTHER}
+    assert set(table.confirmed()) == {LETHAL, OTHER}
 
 
 @pytest.mark.parametrize('answered_after', [0, 1, 2])
@@ -107,7 +107,7 @@
         lose(table, BYSTANDER, f'i-{number}', number)
         if number == answered_after:
             table.clear(BYSTANDER, 'a', number + 0.5)
-    assert (BYSTANDER in table.guilty()) is (answered_after == 0)
+    assert (BYSTANDER in table.confirmed()) is (answered_after == 0)
 
 
 def test_another_organisation_cannot_push_out_what_is_known():
@@ -117,7 +117,7 @@
         lose(table, LETHAL, f'i-{number}', number, organisation='o-1')
     for number in range(100):
         lose(table, named(100 + number), 'j-1', 5, organisation='o-2')
-    assert LETHAL in table.guilty()
+    assert LETHAL in table.confirmed()
     assert len(table.records) == 20
 
 
@@ -128,4 +128,4 @@
         lose(table, LETHAL, f'i-{number}', number)
     for number in range(100):
         lose(table, named(100 + number), 'j-1', 5)
-    assert LETHAL in table.guilty()
+    assert LETHAL in table.confirmed()
--- a/godwitshunt/quarantine/verdicts.py
+++ b/godwitshunt/quarantine/verdicts.py
@@ -12,16 +12,16 @@
 
 # Upstreams that end under a request, with no answer in between, until it is
 # held to be the cause.
-GUILTY_PLACES = 3
+CONFIRMED_CRASHES = 3
 # They must have ended at so many moments: a lost rack ends several at one, and
 # with them a request that many callers send alike.
-GUILTY_MOMENTS = 2
+CONFIRMED_CRASH_TIMES = 2
 # At so many moments no other cause must explain the ends: a second cause that
 # was lost beside the first one each time is found by its next two.
 UNEXPLAINED_MOMENTS = 2
 
 
-def find_guilty(
+def find_confirmed(
     records: Iterable[SuspectRecord],
 ) -> dict[Fingerprint, int]:
     """Return the requests that crash upstreams, with the ends under each.
@@ -34,20 +34,20 @@
     """
     suspects = [one for one in records if is_suspect(one)]
     suspects.sort(key=strength)
-    guilty: dict[Fingerprint, int] = {}
+    confirmed: dict[Fingerprint, int] = {}
     explained: set[str] = set()
     for record in suspects:
         if record.moments(explained) >= UNEXPLAINED_MOMENTS:
-            guilty[record.fingerprint] = len(record.held())
+            confirmed[record.fingerprint] = len(record.held())
             explained.update(one.place for one in record.held())
-    return guilty
+    return confirmed
 
 
 def is_suspect(record: SuspectRecord) -> bool:
     """Tell whether a request may be a cause, whatever else was lost."""
-    if len(record.held()) < GUILTY_PLACES:
+    if len(record.held()) < CONFIRMED_CRASHES:
         return False
-    return record.moments() >= GUILTY_MOMENTS
+    return record.moments() >= CONFIRMED_CRASH_TIMES
 
 
 def strength(record: SuspectRecord) -> tuple[int, float, bytes]:
--- a/godwitshunt/registry/kept_upstreams.py
+++ b/godwitshunt/registry/kept_upstreams.py
@@ -9,7 +9,7 @@
 
 from godwitshunt.exceptions import FrameError
 from godwitshunt.peer import decode, encode
-from godwitshunt.quarantine import SUSPECTED_PLACES, SuspectTable
+from godwitshunt.quarantine import SUSPECTED_CRASHES, SuspectTable
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.suspect_wire import (
     suspects_from_wire,
@@ -78,7 +78,7 @@
 
         Of lost requests only those are kept that are suspected.
         """
-        lost = suspects.since(0, SUSPECTED_PLACES)
+        lost = suspects.since(0, SUSPECTED_CRASHES)
         body = ttypes.KeptUpstreams(
             upstreams=[
                 upstream_to_wire(one, now_s) for one in table.entries.values()
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -10,9 +10,9 @@
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.quarantine import (
     QUARANTINE_S,
-    SUSPECTED_PLACES,
+    SUSPECTED_CRASHES,
     Quarantine,
-    SuspectNews,
+    SuspectUpdate,
 )
 from godwitshunt.registry.control_tables import ControlTables
 from godwitshunt.registry.entries import EntryTable
@@ -337,7 +337,7 @@
             suspects_version=suspects.version,
         )
 
-    def suspects_for(self, poll: ttypes.Poll) -> SuspectNews:
+    def suspects_for(self, poll: ttypes.Poll) -> SuspectUpdate:
         """Return the suspected requests that are new to whoever asks.
 
         Entry VMs hear of those that may soon be kept back; control VMs of
@@ -345,8 +345,8 @@
         """
         version = poll.suspects_version
         if version is None or version < 0:
-            return SuspectNews((), None)
-        least = 0 if poll.from_control else SUSPECTED_PLACES
+            return SuspectUpdate((), None)
+        least = 0 if poll.from_control else SUSPECTED_CRASHES
         return self.quarantine.table.news(version, least)
 
     def own_news(
--- a/godwitshunt/registry/suspect_wire.py
+++ b/godwitshunt/registry/suspect_wire.py
@@ -77,9 +77,9 @@
     )
     for cleared in info.clearances or ():
         at_s = now_s - cleared.age_ms / MILLISECONDS
-        record.take_clearance(cleared.name, at_s)
+        record.add_clearance(cleared.name, at_s)
     for lost in info.losses or ():
         exposure_s = lost.exposure_ms / MILLISECONDS
         at_s = now_s - lost.age_ms / MILLISECONDS
-        record.take_loss(Loss(lost.place, at_s, exposure_s))
+        record.add_loss(Loss(lost.place, at_s, exposure_s))
     return record
--- a/godwitshunt/registry/tests/test_after_the_dark.py
+++ b/godwitshunt/registry/tests/test_after_the_dark.py
@@ -182,8 +182,8 @@
     for number in range(3):
         before.timer.advance(1)
         loss = Loss(f'i-{number}', before.timer.now(), 0.1)
-        before.quarantine.note_loss(LostRequest(LETHAL, '', 5, loss))
+        before.quarantine.record_loss(LostRequest(LETHAL, '', 5, loss))
     await before.keeper.keep()
     after = started(tmp_path)
-    believed = after.quarantine.believed(LETHAL)
-    assert believed.standing is Standing.quarantined
+    assessment = after.quarantine.assessment(LETHAL)
+    assert assessment.standing is Standing.quarantined
--- a/godwitshunt/registry/tests/test_quarantine_api.py
+++ b/godwitshunt/registry/tests/test_quarantine_api.py
@@ -20,7 +20,7 @@
         made.timer.advance(1)
         loss = Loss(f'i-{number}', made.timer.now(), 0.1)
         lost = LostRequest(LETHAL, '', 5, loss)
-        made.controls[1].quarantine.note_loss(lost)
+        made.controls[1].quarantine.record_loss(lost)
     await made.exchange()
     made.timer.advance(1)
     return made
@@ -50,15 +50,15 @@
     """The service was mended, and its callers go on being refused."""
     watch = deployment.entry(11, 'a')
     await deployment.greet(watch)
-    believed = watch.quarantine.believed(LETHAL)
-    assert believed.standing is Standing.quarantined
+    assessment = watch.quarantine.assessment(LETHAL)
+    assert assessment.standing is Standing.quarantined
     asked = {'fingerprint': str(LETHAL)}
     path = '/v1/quarantine/release'
     came = await api(deployment).release(request('POST', path, asked))
     assert came.status == 200
     await deployment.exchange()
     await deployment.poll(watch, 1)
-    assert watch.quarantine.believed(LETHAL).standing is Standing.clear
+    assert watch.quarantine.assessment(LETHAL).standing is Standing.clear
     again = await api(deployment).release(request('POST', path, asked))
     assert again.status == 404
 
@@ -69,5 +69,5 @@
     path = '/v1/quarantine/release'
     came = await api(deployment).release(request('POST', path, asked))
     assert came.status == 400
-    standing = deployment.controls[1].quarantine.believed(LETHAL).standing
+    standing = deployment.controls[1].quarantine.assessment(LETHAL).standing
     assert standing is Standing.quarantined
--- a/godwitshunt/registry/tests/test_starts.py
+++ b/godwitshunt/registry/tests/test_starts.py
@@ -67,8 +67,8 @@
     table = controls.tables['c-1']
     table.announce(told(FIRST, 9, draining=True), 0)
     table.announce(told(SECOND, 1), 1)
-    believed = controls.view(1)
-    assert [one.draining for one in believed.values()] == [False]
+    assessment = controls.view(1)
+    assert [one.draining for one in assessment.values()] == [False]
 
 
 def test_a_start_follows_one_that_said_good_bye():
--- a/godwitshunt/registry/tests/test_suspects.py
+++ b/godwitshunt/registry/tests/test_suspects.py
@@ -19,12 +19,12 @@
     """Let an upstream have ended under a request, each at another second."""
     at_s = watch.timer.now() - 10 + int(place[-1])
     loss = Loss(place, at_s, 0.1)
-    watch.quarantine.note_loss(LostRequest(fingerprint, '', 5, loss))
+    watch.quarantine.record_loss(LostRequest(fingerprint, '', 5, loss))
 
 
 def standing(watch):
     """Return what an entry VM holds against the lethal request."""
-    return watch.quarantine.believed(LETHAL).standing
+    return watch.quarantine.assessment(LETHAL).standing
 
 
 async def spread(deployment, *watches):
@@ -164,8 +164,8 @@
     await spread(deployment, other)
     for _ in range(3):
         await deployment.poll(watch, 1)
-    believed = watch.quarantine.believed(Fingerprint(bytes(range(16))))
-    assert believed.standing is Standing.quarantined
+    assessment = watch.quarantine.assessment(Fingerprint(bytes(range(16))))
+    assert assessment.standing is Standing.quarantined
 
 
 async def test_control_vm_that_is_asked_first_later_is_told_all(deployment):
@@ -179,5 +179,5 @@
     deployment.network.split(address(1), address(2))
     await deployment.poll(watch, 1)
     await deployment.poll(watch, 2)
-    believed = deployment.controls[2].quarantine.believed(LETHAL)
-    assert believed.standing is Standing.quarantined
+    assessment = deployment.controls[2].quarantine.assessment(LETHAL)
+    assert assessment.standing is Standing.quarantined
