--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -21,9 +21,9 @@
     LimitPool,
     Standing,
     fixed_shares,
-    usable_part,
+    usable_share,
 )
-from godwitshunt.organisations.limits import STALE_S
+from godwitshunt.organisations.limits import PEER_TIMEOUT_S
 from godwitshunt.routing.limits import Admitted, CallerLimits, CallerQuota
 
 NAME = 'wards'
@@ -126,10 +126,11 @@
             str(other)
             for other in range(REGIONS)
             if other == region
-            or now_s - self.heard_s.get((region, other), -STALE_S) < STALE_S
+            or now_s - self.heard_s.get((region, other), -PEER_TIMEOUT_S)
+            < PEER_TIMEOUT_S
         }
         standing = Standing(
-            part=usable_part(str(region), names, tuple(names), heard),
+            part=usable_share(str(region), names, tuple(names), heard),
             share=1 / REGIONS,
             heard_s=min(
                 (
@@ -194,7 +195,7 @@
         heard = [
             other
             for other in range(REGIONS)
-            if self.trouble.hears(region_of(vm), other, now_s - STALE_S)
+            if self.trouble.hears(region_of(vm), other, now_s - PEER_TIMEOUT_S)
         ]
         standing = Standing(part=len(heard) / REGIONS)
         pool = self.pools[vm]
--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -172,7 +172,7 @@
             remaining_s=WAITS_S,
             now_s=self.now_s,
             local=local,
-            quiet_regions=frozenset() if demand.urgent else quiet,
+            low_urgency_regions=frozenset() if demand.urgent else quiet,
             holders=vm.prefixes.holders(demand.shared_key, self.now_s),
         )
         view = replace(self.view, loads=self.heard.get(id(vm), {}))
--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -200,7 +200,9 @@
                 arrived_s=now_s,
                 ends_s=now_s + waits_s,
                 resume_after=resume_after(http, self.names),
-                quiet_regions=in_force.quiet_regions(bound, service),
+                low_urgency_regions=in_force.low_urgency_regions(
+                    bound, service
+                ),
                 level=in_force.table.level(bound, holder.organisation),
                 organisation=holder.organisation,
                 key_sha256=holder.key_sha256,
--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -56,7 +56,7 @@
         timer=timer,
         metrics=metrics,
     )
-    chooser.filter.cold_room = parts.cold_room
+    chooser.filter.has_cold_capacity = parts.has_cold_capacity
     return parts
 
 
--- a/godwitshunt/ingress/authority.py
+++ b/godwitshunt/ingress/authority.py
@@ -12,7 +12,7 @@
 from godwitshunt.exchange.problems import ProblemKind
 from godwitshunt.ingress.in_force import InForce
 from godwitshunt.ingress.requests import RoutedRequest
-from godwitshunt.organisations import ProofRule
+from godwitshunt.organisations import FreshnessRule
 from godwitshunt.settings import BoundSettings
 
 # A key that is not known after newer news is nobody's, where the news is of a
@@ -35,7 +35,7 @@
 
     Parameters
     ----------
-    rule : ProofRule
+    rule : FreshnessRule
         How long a proof holds.
     now_s : callable
         Returns monotonic seconds.
@@ -45,7 +45,7 @@
         Asks for a newer proof, and for newer revisions.
     """
 
-    rule: ProofRule
+    rule: FreshnessRule
     now_s: Callable[[], float]
     age_s: Callable[[], float] = always
     renew: Callable[[], Awaitable[None]] = ask_nobody
@@ -57,7 +57,7 @@
         now_s: Callable[[], float],
     ) -> Self:
         """Make the authority of a VM that asks nobody yet."""
-        return cls(ProofRule(bounds.revoke_s), now_s)
+        return cls(FreshnessRule(bounds.revoke_s), now_s)
 
     @property
     def is_proven(self) -> bool:
--- a/godwitshunt/ingress/hops.py
+++ b/godwitshunt/ingress/hops.py
@@ -118,7 +118,7 @@
             resume_after=note.resume_after if resumes else None,
             repeat=bool(note.repeat),
             handed_over=True,
-            quiet_regions=in_force.quiet_regions(route, service),
+            low_urgency_regions=in_force.low_urgency_regions(route, service),
             level=in_force.table.level(route, organisation),
             organisation=organisation,
         ),
--- a/godwitshunt/ingress/in_force.py
+++ b/godwitshunt/ingress/in_force.py
@@ -36,7 +36,9 @@
             {service.name: service for service in manifest.services},
         )
 
-    def quiet_regions(self, route: Route, service: Service) -> frozenset[str]:
+    def low_urgency_regions(
+        self, route: Route, service: Service
+    ) -> frozenset[str]:
         """Return where nothing more urgent than a route has a home."""
         return self.table.quiet.get((service.name, route.rank), frozenset())
 
--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -100,7 +100,7 @@
         )
         now_s = self.parts.timer.now()
         self.parts.learner.learn(told, self.request.service, now_s)
-        self.parts.picker.note_shown(told)
+        self.parts.picker.report_attempt(told)
         if shown is Shown.answered:
             self.count_prompt(choice)
 
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -358,7 +358,7 @@
             now_s=now_s,
             excluded=frozenset(self.sender.excluded),
             local=request.handed_over,
-            quiet_regions=request.quiet_regions,
+            low_urgency_regions=request.low_urgency_regions,
             holders=self.parts.watch.prefixes.holders(
                 request.prompt.shared_key,
                 now_s,
@@ -383,7 +383,7 @@
     def may_send(self, choice: SendHere) -> bool:
         """Take one request from a cold upstream's budget."""
         cold = self.request.service.cold_start
-        if choice.is_given or not choice.is_cold or cold is None:
+        if choice.chosen_by_picker or not choice.is_cold or cold is None:
             return True
         return self.parts.budgets.cold.spend(
             choice.seen.told.incarnation,
--- a/godwitshunt/ingress/parts.py
+++ b/godwitshunt/ingress/parts.py
@@ -96,7 +96,7 @@
         """
         regions = set(self.settings.domains.values())
         regions.add(self.settings.region)
-        part = 1 / len(regions) / self.neighbours.count_here()
+        part = 1 / len(regions) / self.neighbours.count_in_region()
         return Standing(part, part)
 
     def cold_share(self) -> float:
@@ -107,9 +107,9 @@
         """
         if self.watch.has_control_here():
             return 0.0
-        return 1 / self.neighbours.count_here()
+        return 1 / self.neighbours.count_in_region()
 
-    def cold_room(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
+    def has_cold_capacity(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
         """Tell whether this VM may send a cold upstream one more request."""
         cold = ask.service.cold_start
         return cold is None or self.budgets.cold.has_room(
--- a/godwitshunt/ingress/requests.py
+++ b/godwitshunt/ingress/requests.py
@@ -40,7 +40,7 @@
         True where an upstream has had it before it was handed over.
     handed_over : bool
         True where another VM handed it over.
-    quiet_regions : frozenset of str
+    low_urgency_regions : frozenset of str
         Regions that more urgent routes of the service have no home in.
     level : int
         How urgent it is; 0 goes first.
@@ -62,7 +62,7 @@
     resume_after: int | None = None
     repeat: bool = False
     handed_over: bool = False
-    quiet_regions: frozenset[str] = frozenset()
+    low_urgency_regions: frozenset[str] = frozenset()
     level: int = 0
     organisation: Organisation | None = None
     key_sha256: str = ''
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -129,12 +129,12 @@
             next(numbers),
             tokens,
             parts.timer,
-            parts.picker.note_change,
+            parts.picker.schedule_report,
         )
         sent_s = parts.timer.now()
         self.note_first_try(sent_s)
         health.begin(signs.number, tokens, sent_s)
-        parts.picker.note_change()
+        parts.picker.schedule_report()
         parts.upstreams.note_sent(self.request.service.name, told.incarnation)
         attempt = self.make_attempt(
             told.address,
@@ -166,7 +166,7 @@
         sent_s: float,
     ) -> None:
         """Learn of the upstream; do not choose it again where it failed."""
-        self.parts.picker.note_change()
+        self.parts.picker.schedule_report()
         first_s = None
         if signs.first_at_s is not None:
             first_s = signs.first_at_s - sent_s
--- a/godwitshunt/ingress/tests/test_authority.py
+++ b/godwitshunt/ingress/tests/test_authority.py
@@ -14,7 +14,7 @@
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.in_force import InForce
 from godwitshunt.manifest import Organisation
-from godwitshunt.organisations import ProofRule, key_digest
+from godwitshunt.organisations import FreshnessRule, key_digest
 from godwitshunt.organisations.tests.test_keys import (
     ROUTE,
     manifest,
@@ -46,7 +46,7 @@
 
     def __post_init__(self) -> None:
         self.authority = Authority(
-            ProofRule(REVOKE_S),
+            FreshnessRule(REVOKE_S),
             lambda: self.now_s,
             lambda: self.now_s - self.proof_s,
             self.ask,
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -118,7 +118,7 @@
     parts = SimpleNamespace(
         timer=SimpleNamespace(now=lambda: 1.0),
         learner=SimpleNamespace(learn=lambda shown, service, now_s: None),
-        picker=SimpleNamespace(note_shown=told.append),
+        picker=SimpleNamespace(report_attempt=told.append),
         quarantine=SimpleNamespace(knows_length=lambda length: False),
     )
     request = SimpleNamespace(
--- a/godwitshunt/organisations/__init__.py
+++ b/godwitshunt/organisations/__init__.py
@@ -13,13 +13,13 @@
     Sums,
     limits_of,
 )
-from godwitshunt.organisations.proofs import ProofRule
-from godwitshunt.organisations.shares import fixed_shares, usable_part
+from godwitshunt.organisations.proofs import FreshnessRule
+from godwitshunt.organisations.shares import fixed_shares, usable_share
 
 __all__ = [
     'KeyRing',
     'LimitPool',
-    'ProofRule',
+    'FreshnessRule',
     'Standing',
     'Sums',
     'UrgencyLevels',
@@ -27,5 +27,5 @@
     'fixed_shares',
     'key_digest',
     'limits_of',
-    'usable_part',
+    'usable_share',
 ]
--- a/godwitshunt/organisations/limits.py
+++ b/godwitshunt/organisations/limits.py
@@ -27,7 +27,7 @@
 Sums = Mapping[str, float]
 # Pickers tell each other each 0.2 s, over 0.1 s; one that was not heard for so
 # long is taken to be out of reach.
-STALE_S = 0.6
+PEER_TIMEOUT_S = 0.6
 LEAST_WAIT_S = 0.05
 # Of what operators bear beyond a limit, this part may be used up knowingly.
 USED_SHARE = 0.5
@@ -106,7 +106,7 @@
         """
         lost = max(0.0, self.part - part)
         self.part = part
-        self.left -= lost * self.limit.per_s * STALE_S
+        self.left -= lost * self.limit.per_s * PEER_TIMEOUT_S
         passed_s = max(0.0, now_s - self.asof_s)
         self.asof_s = max(self.asof_s, now_s)
         gained = self.limit.per_s * part * passed_s
@@ -127,7 +127,7 @@
         if missing <= 0:
             return 0.0
         per_s = self.limit.per_s * standing.part
-        return max(LEAST_WAIT_S, missing / per_s) if per_s else STALE_S
+        return max(LEAST_WAIT_S, missing / per_s) if per_s else PEER_TIMEOUT_S
 
     def own(self, standing: Standing, now_s: float) -> float:
         """Return this process's share of what the limit has allowed.
@@ -142,7 +142,7 @@
 
     def untold(self, standing: Standing, now_s: float) -> float:
         """Return what was admitted here since the others were heard."""
-        while self.recent and self.recent[0][0] < now_s - STALE_S:
+        while self.recent and self.recent[0][0] < now_s - PEER_TIMEOUT_S:
             self.recent.popleft()
         return sum(
             units for at_s, units in self.recent if at_s > standing.heard_s
@@ -270,7 +270,7 @@
         self.heard[source] = HeardSums(sums, asof_s)
         if known is None:
             return
-        silent_s = max(0.0, asof_s - known.asof_s - STALE_S)
+        silent_s = max(0.0, asof_s - known.asof_s - PEER_TIMEOUT_S)
         for name, units in gained(known.sums, sums):
             bucket = self.buckets.get(name)
             if bucket is not None:
--- a/godwitshunt/organisations/proofs.py
+++ b/godwitshunt/organisations/proofs.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class ProofRule:
+class FreshnessRule:
     """Whether what is known of keys still holds.
 
     Parameters
@@ -27,9 +27,12 @@
 
     Examples
     --------
-    >>> ProofRule(5.0).holds(age_s=4.8), ProofRule(5.0).holds(age_s=4.95)
+    >>> (
+    ...     FreshnessRule(5.0).holds(age_s=4.8),
+    ...     FreshnessRule(5.0).holds(age_s=4.95),
+    ... )
     (True, False)
-    >>> ProofRule().holds(age_s=float('inf'))
+    >>> FreshnessRule().holds(age_s=float('inf'))
     True
     """
 
--- a/godwitshunt/organisations/shares.py
+++ b/godwitshunt/organisations/shares.py
@@ -36,7 +36,7 @@
     return shares
 
 
-def usable_part(
+def usable_share(
     own: str,
     pickers: Mapping[str, Collection[str]],
     known: Collection[str],
@@ -62,9 +62,9 @@
     Examples
     --------
     >>> pickers = {'kochi': ('a',), 'tvm': ('b',), 'pala': ('c',)}
-    >>> round(usable_part('a', pickers, 'abc', 'ab'), 3)
+    >>> round(usable_share('a', pickers, 'abc', 'ab'), 3)
     0.667
-    >>> round(usable_part('c', pickers, 'abc', 'c'), 3)
+    >>> round(usable_share('c', pickers, 'abc', 'c'), 3)
     0.333
     """
     shares = fixed_shares(pickers)
--- a/godwitshunt/organisations/tests/test_keys.py
+++ b/godwitshunt/organisations/tests/test_keys.py
@@ -17,8 +17,8 @@
     WeightedService,
 )
 from godwitshunt.organisations import (
+    FreshnessRule,
     KeyRing,
-    ProofRule,
     UrgencyLevels,
     bind_route,
     key_digest,
@@ -162,8 +162,8 @@
 )
 def test_a_proof_holds_for_less_than_the_revocation_allows(age_s, holds):
     """A VM is cut off, and its callers' keys are taken away meanwhile."""
-    assert ProofRule(5.0).holds(age_s) is holds
-    assert ProofRule(None).holds(age_s)
+    assert FreshnessRule(5.0).holds(age_s) is holds
+    assert FreshnessRule(None).holds(age_s)
 
 
 @pytest.mark.parametrize(
--- a/godwitshunt/organisations/tests/test_limits.py
+++ b/godwitshunt/organisations/tests/test_limits.py
@@ -17,9 +17,9 @@
     LimitPool,
     Standing,
     fixed_shares,
-    usable_part,
+    usable_share,
 )
-from godwitshunt.organisations.limits import STALE_S
+from godwitshunt.organisations.limits import PEER_TIMEOUT_S
 
 NAME = 'wards'
 RATE = 100.0
@@ -63,11 +63,11 @@
         fresh = {
             name: asof_s
             for name, asof_s in self.heard.items()
-            if now_s - asof_s <= STALE_S
+            if now_s - asof_s <= PEER_TIMEOUT_S
         }
         heard = {*fresh, self.name}
         return Standing(
-            part=usable_part(self.name, REGIONS, PICKERS, heard),
+            part=usable_share(self.name, REGIONS, PICKERS, heard),
             share=fixed_shares(REGIONS)[self.name],
             heard_s=min(fresh.values(), default=inf),
             allowance=ALLOWANCE,
--- a/godwitshunt/picking/choices.py
+++ b/godwitshunt/picking/choices.py
@@ -22,7 +22,7 @@
         Incarnations, VMs and regions that failed this request.
     local : bool
         True where it was handed over to this VM, and must be served here.
-    quiet_regions : frozenset of str
+    low_urgency_regions : frozenset of str
         Regions that more urgent routes of the service have no home in.
     holders : frozenset of str
         Incarnations that keep the prompt's shared parts.
@@ -37,13 +37,13 @@
     now_s: float
     excluded: frozenset[str] = frozenset()
     local: bool = False
-    quiet_regions: frozenset[str] = frozenset()
+    low_urgency_regions: frozenset[str] = frozenset()
     holders: frozenset[str] = frozenset()
     entry: str = ''
 
     def affinity(self, region: str) -> float:
         """Return a region's share of shared prompt parts, against others."""
-        return QUIET_AFFINITY if region in self.quiet_regions else 1.0
+        return QUIET_AFFINITY if region in self.low_urgency_regions else 1.0
 
 
 @dataclass(frozen=True)
@@ -59,7 +59,7 @@
         True where it keeps the shared parts.
     waiting_tokens : float
         What others wait for to be read there.
-    is_given : bool
+    chosen_by_picker : bool
         True where the region's picker gave the place, and its budgets with it.
     """
 
@@ -70,7 +70,7 @@
     unread_tokens: int = 0
     is_kept: bool = False
     waiting_tokens: float = 0.0
-    is_given: bool = False
+    chosen_by_picker: bool = False
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
         False where there is no upstream at all.
     retry_after_s : float
         When one may have room.
-    is_given : bool
+    chosen_by_picker : bool
         True where the region's picker said so.
     left_out : tuple of str
         Why each upstream gets no request, where none does.
@@ -109,7 +109,7 @@
     overloaded: bool
     retry_after_s: float
     ranked: tuple[Ranked, ...] = ()
-    is_given: bool = False
+    chosen_by_picker: bool = False
     left_out: tuple[str, ...] = ()
 
 
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -108,12 +108,12 @@
         self.watch.contacts.of(str(picker)).fail()
         self.watch.begin(picker)
 
-    def note_shown(self, made: AttemptShown) -> None:
+    def report_attempt(self, made: AttemptShown) -> None:
         """Tell the picker what an attempt showed."""
         self.reports.shown.append(made)
-        self.note_change()
+        self.schedule_report()
 
-    def note_change(self) -> None:
+    def schedule_report(self) -> None:
         """Tell the picker, soon, that this VM's requests have changed."""
         if not self.is_due:
             self.is_due = True
--- a/godwitshunt/picking/filters.py
+++ b/godwitshunt/picking/filters.py
@@ -32,13 +32,13 @@
         The region whose upstreams are sent to from here.
     upstreams : Upstreams
         What requests have shown of them.
-    cold_room : callable
+    has_cold_capacity : callable
         Tells whether a cold upstream may get one more request by this process.
     """
 
     region: str
     upstreams: Upstreams
-    cold_room: Callable[[UpstreamSeen, ChoiceRequest], bool] = always
+    has_cold_capacity: Callable[[UpstreamSeen, ChoiceRequest], bool] = always
 
     def may_be_cold(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
         """Tell whether an upstream must get no more than cold ones bear.
@@ -78,7 +78,9 @@
             return 'unreached'
         if now_s < health.full_until_s:
             return 'turned away'
-        if self.may_be_cold(seen, ask) and not self.cold_room(seen, ask):
+        if self.may_be_cold(seen, ask) and not self.has_cold_capacity(
+            seen, ask
+        ):
             return 'cold'
         return None
 
--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -9,9 +9,9 @@
     Standing,
     fixed_shares,
     limits_of,
-    usable_part,
+    usable_share,
 )
-from godwitshunt.organisations.limits import STALE_S
+from godwitshunt.organisations.limits import PEER_TIMEOUT_S
 from godwitshunt.registry.control_tables import ControlTables
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.wire import admitted_from_wire
@@ -74,13 +74,13 @@
                 table.loads_s,
                 shares.get(control, 0.0),
             )
-            if now_s - table.loads_s <= STALE_S:
+            if now_s - table.loads_s <= PEER_TIMEOUT_S:
                 heard[control] = table.loads_s
         known = {str(one) for one in self.tables.place.others()}
         known.update(heard)
         own = self.tables.own
         return Standing(
-            part=usable_part(own, pickers, known, heard),
+            part=usable_share(own, pickers, known, heard),
             share=shares[own],
             heard_s=min(heard.values()),
             allowance=self.allowance,
--- a/godwitshunt/picking/neighbours.py
+++ b/godwitshunt/picking/neighbours.py
@@ -49,7 +49,7 @@
         """Return the entry VMs of all regions, this one included."""
         return max(1, len(self.seen))
 
-    def count_here(self) -> int:
+    def count_in_region(self) -> int:
         """Return the entry VMs of this region, this one included."""
         here = sum(region == self.region for region, _ in self.seen.values())
         return max(1, here)
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -172,7 +172,7 @@
             self.random,
             near_s=0.0,
         )
-        self.chooser.filter.cold_room = self.cold_room
+        self.chooser.filter.has_cold_capacity = self.has_cold_capacity
 
     def rank_among(self, own: str, pickers: Collection[str]) -> None:
         """Take the part of cold upstreams' budgets that is this picker's.
@@ -257,12 +257,12 @@
             now_s=now_s,
             excluded=question.excluded,
             local=question.local,
-            quiet_regions=quiet,
+            low_urgency_regions=quiet,
             holders=self.prefixes.holders(demand.shared_key, now_s),
             entry=question.entry,
         )
 
-    def cold_room(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
+    def has_cold_capacity(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
         """Tell whether a cold upstream may get one more request."""
         cold = ask.service.cold_start
         return cold is None or self.cold.has_room(
--- a/godwitshunt/picking/routes.py
+++ b/godwitshunt/picking/routes.py
@@ -52,7 +52,7 @@
             hosts.setdefault(route.host, {})[route.path_prefix] = route
         keys = KeyRing.from_manifest(manifest)
         levels = UrgencyLevels.from_manifest(manifest)
-        return cls(hosts, quiet_regions(manifest), keys, levels)
+        return cls(hosts, low_urgency_regions(manifest), keys, levels)
 
     def match(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix that begins a path."""
@@ -127,7 +127,9 @@
     return chosen
 
 
-def quiet_regions(manifest: Manifest) -> dict[tuple[str, int], frozenset[str]]:
+def low_urgency_regions(
+    manifest: Manifest,
+) -> dict[tuple[str, int], frozenset[str]]:
     """Return for each service and rank where nothing more urgent has a home."""
     regions = frozenset(region.name for region in manifest.regions)
     homes: dict[tuple[str, int], set[str]] = {}
--- a/godwitshunt/picking/tests/region.py
+++ b/godwitshunt/picking/tests/region.py
@@ -111,13 +111,13 @@
         self.sent += 1
         health = self.reports.upstreams.of(instance)
         health.begin(self.sent, tokens, self.client.timer.now())
-        self.client.note_change()
+        self.client.schedule_report()
         return self.sent
 
     def end(self, instance: str, number: int, tokens: int = 0) -> None:
         """End a request."""
         self.reports.upstreams.of(instance).end(number, tokens)
-        self.client.note_change()
+        self.client.schedule_report()
 
 
 class PickedRegion(Deployment):
--- a/godwitshunt/picking/tests/test_exact_counts.py
+++ b/godwitshunt/picking/tests/test_exact_counts.py
@@ -42,7 +42,7 @@
     """All entry VMs get a request in the same millisecond."""
     _, entries = await started(vms)
     given = [await entry.ask() for entry in entries]
-    assert all(one.is_given for one in given)
+    assert all(one.chosen_by_picker for one in given)
     sent = Counter(map(place, given))
     assert max(sent.values()) <= -(-vms // ENGINES)
 
--- a/godwitshunt/picking/wire.py
+++ b/godwitshunt/picking/wire.py
@@ -168,7 +168,7 @@
                 unread_tokens=made.unread_tokens,
                 is_kept=bool(made.is_kept),
                 waiting_tokens=made.waiting_tokens,
-                is_given=True,
+                chosen_by_picker=True,
             )
         case GivenKind.entry:
             predicted_s = made.predicted_ms / MILLISECONDS
@@ -180,7 +180,7 @@
         case kind:
             overloaded = kind is GivenKind.overloaded
             wait_s = made.retry_after_ms / MILLISECONDS
-            return NoPlace(overloaded, wait_s, is_given=True)
+            return NoPlace(overloaded, wait_s, chosen_by_picker=True)
 
 
 def seen_to_wire(seen: UpstreamSeen, now_s: float) -> ttypes.UpstreamInfo:
