--- a/godwitshunt/quarantine/__init__.py
+++ b/godwitshunt/quarantine/__init__.py
@@ -8,7 +8,7 @@
 
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import Loss, SuspectRecord
-from godwitshunt.quarantine.standing import (
+from godwitshunt.quarantine.state import (
     QUARANTINE_S,
     Assessment,
     Quarantine,
