--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -33,7 +33,7 @@
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import Load, RegistryView
-from godwitshunt.registry.prefixes import PrefixRead, PrefixTable
+from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.routing.selection import Demand
 
 Event = Callable[[], None]
@@ -243,7 +243,7 @@
             health.show_life(id(job), unread, self.now_s)
             if job.demand.has_affinity:
                 self.tell(
-                    vm, PrefixRead(job.demand.shared_key, name, self.now_s)
+                    vm, CachedPrefix(job.demand.shared_key, name, self.now_s)
                 )
         if job.ended_s is not None:
             health.end(id(job), unread)
@@ -253,7 +253,7 @@
             lambda: self.follow(vm, name, job, unread, is_read=is_read),
         )
 
-    def tell(self, vm: Vm, read: PrefixRead) -> None:
+    def tell(self, vm: Vm, read: CachedPrefix) -> None:
         """Let a VM know of a read, and the others a little later."""
         vm.prefixes.note(read)
         if not self.pattern.told:
--- a/godwitshunt/ingress/parts.py
+++ b/godwitshunt/ingress/parts.py
@@ -105,7 +105,7 @@
         Where the region has control VMs their pickers share it all; a VM that
         gave some besides could send more than the upstreams bear.
         """
-        if self.watch.has_control_here():
+        if self.watch.has_local_control():
             return 0.0
         return 1 / self.neighbours.count_in_region()
 
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -250,7 +250,9 @@
         self.account.note_first(self.parts.timer.now())
         prompt = self.request.prompt
         if self.reader is not None and prompt.worth_keeping:
-            self.parts.watch.note_read(prompt.shared_key, self.reader)
+            self.parts.watch.record_cached_prefix(
+                prompt.shared_key, self.reader
+            )
 
     def resume_after(self) -> int | None:
         """Return the id of the last event that the caller has."""
--- a/godwitshunt/ingress/tests/test_young_vm.py
+++ b/godwitshunt/ingress/tests/test_young_vm.py
@@ -11,7 +11,7 @@
     NoPlace,
 )
 from godwitshunt.registry.tests.deployment import Deployment, address
-from godwitshunt.registry.watch import YOUNG_PERIOD_S, YOUNG_S
+from godwitshunt.registry.watch import WARM_UP_PERIOD_S, WARM_UP_S
 
 NOWHERE = NoPlace(overloaded=False, retry_after_s=0.4)
 FULL = NoPlace(overloaded=True, retry_after_s=0.4)
@@ -67,10 +67,10 @@
     watch.started_s = deployment.timer.now()
     asked: list[str] = []
     watch.begin = lambda target: asked.append(str(target))
-    deployment.timer.advance(YOUNG_PERIOD_S)
+    deployment.timer.advance(WARM_UP_PERIOD_S)
     watch.tick()
     assert asked == [str(address(1))]
-    watch.started_s -= YOUNG_S
+    watch.started_s -= WARM_UP_S
     watch.tick()
     assert asked == [str(address(1))]
 
@@ -91,12 +91,12 @@
         now=deployment.timer.now,
         after=lambda when_s, work: again.append(work),
     )
-    watch.retry_first(address(1))
+    watch.retry_initial_poll(address(1))
     assert not again
-    watch.retry_first(address(2))
+    watch.retry_initial_poll(address(2))
     assert len(again) == 1
     watch.subscription = None
-    watch.retry_first(address(2))
+    watch.retry_initial_poll(address(2))
     assert len(again) == 1
 
 
--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -49,7 +49,9 @@
         """Return the control VMs of each region that are known."""
         regions = set(self.tables.place.regions.values())
         regions.add(self.tables.place.region)
-        found = {region: self.tables.in_region(region) for region in regions}
+        found = {
+            region: self.tables.controls_in_region(region) for region in regions
+        }
         here = found[self.tables.place.region]
         if self.tables.own not in here:
             here.append(self.tables.own)
@@ -71,11 +73,11 @@
             self.pool.hear(
                 f'{control} {table.source}',
                 table.admitted,
-                table.loads_s,
+                table.loads_asof_s,
                 shares.get(control, 0.0),
             )
-            if now_s - table.loads_s <= PEER_TIMEOUT_S:
-                heard[control] = table.loads_s
+            if now_s - table.loads_asof_s <= PEER_TIMEOUT_S:
+                heard[control] = table.loads_asof_s
         known = {str(one) for one in self.tables.place.others()}
         known.update(heard)
         own = self.tables.own
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -32,7 +32,7 @@
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamSeen
 from godwitshunt.registry.ledger import LoadLedger, SummedLoads
-from godwitshunt.registry.prefixes import PrefixRead, PrefixTable
+from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.routing.cold_budget import ColdBudget
 from godwitshunt.routing.selection import LEAST_SHARED_TOKENS, Demand
 
@@ -319,7 +319,7 @@
         sent elsewhere, they would be read twice.
         """
         if demand.shared_tokens >= LEAST_SHARED_TOKENS:
-            read = PrefixRead(demand.shared_key, instance, now_s)
+            read = CachedPrefix(demand.shared_key, instance, now_s)
             self.prefixes.note(read)
 
 
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -160,7 +160,9 @@
         self.picker.upstreams.forget(view.upstreams)
         self.picker.cold.forget(frozenset(view.upstreams))
         own = str(self.registry.place.address)
-        self.picker.rank_among(own, tables.in_region(self.picker.region))
+        self.picker.rank_among(
+            own, tables.controls_in_region(self.picker.region)
+        )
         self.picker.handed.forget(now_s)
         # Heard with questions only, what others admit while this region asks
         # for nothing would look admitted through a silence of theirs.
@@ -176,7 +178,7 @@
         """Answer an entry VM that asks for a place."""
         asked = decode(ttypes.PlaceAsked, body)
         question = question_from_wire(asked)
-        self.registry.take_report(question.entry, asked.report)
+        self.registry.apply_report(question.entry, asked.report)
         now_s = self.timer.now()
         holders = self.holders(question.demand, now_s)
         given = self.give(question, now_s)
@@ -185,7 +187,7 @@
 
     async def on_report(self, sender: str, body: bytes) -> None:
         """Take an entry VM's requests, and what its attempts showed."""
-        self.registry.take_report(sender, decode(ttypes.LoadReport, body))
+        self.registry.apply_report(sender, decode(ttypes.LoadReport, body))
 
     def learn(
         self,
--- a/godwitshunt/picking/tests/test_cut_control.py
+++ b/godwitshunt/picking/tests/test_cut_control.py
@@ -9,7 +9,7 @@
 
 from godwitshunt.picking.choices import HandOver
 from godwitshunt.picking.tests.region import LONG, PickedRegion, engine
-from godwitshunt.registry.control_tables import AROUND_AFTER_S
+from godwitshunt.registry.control_tables import RELAY_POLL_AFTER_S
 from godwitshunt.registry.tests.deployment import address
 from godwitshunt.registry.views import FRESH_S
 from godwitshunt.registry.watch import POLL_PERIOD_S
@@ -69,9 +69,9 @@
 async def test_without_a_cut_entry_vms_tell_no_tables():
     """In calm each table comes from its control VM alone."""
     region, near, far = await started()
-    await wait(region, (*near, far), 4 * AROUND_AFTER_S)
+    await wait(region, (*near, far), 4 * RELAY_POLL_AFTER_S)
     for entry in (*near, far):
         for control in region.controls:
             now_s = region.timer.now()
             target = str(address(control))
-            assert not entry.watch.message_to(target, now_s).newer
+            assert not entry.watch.make_poll(target, now_s).newer
--- a/godwitshunt/picking/tests/test_lost_picker.py
+++ b/godwitshunt/picking/tests/test_lost_picker.py
@@ -19,7 +19,7 @@
     revision,
 )
 from godwitshunt.registry.contacts import PROBE_PERIOD_S
-from godwitshunt.registry.control_tables import MOVED_AFTER_S
+from godwitshunt.registry.control_tables import LOCAL_LOADS_TTL_S
 from godwitshunt.registry.tests.deployment import address
 
 
@@ -71,7 +71,7 @@
     early = picker.registry.view()
     at_once = [early.loads.get(f'i-{number}').in_flight for number in range(2)]
     assert sum(at_once) >= 2 * SLOTS
-    region.timer.advance(MOVED_AFTER_S + 0.1)
+    region.timer.advance(LOCAL_LOADS_TTL_S + 0.1)
     view = picker.registry.view()
     known = [view.loads.get(f'i-{number}').in_flight for number in range(2)]
     assert sum(known) == 2 * SLOTS
--- a/godwitshunt/picking/wire.py
+++ b/godwitshunt/picking/wire.py
@@ -16,9 +16,9 @@
 from godwitshunt.registry.views import heard
 from godwitshunt.registry.wire import (
     MILLISECONDS,
+    announcement_to_wire,
     entry_from_wire,
     entry_to_wire,
-    told_to_wire,
     upstream_from_wire,
 )
 from godwitshunt.routing.selection import Demand
@@ -186,7 +186,7 @@
 def seen_to_wire(seen: UpstreamSeen, now_s: float) -> ttypes.UpstreamInfo:
     """Return an upstream as a picker believes it to be as a struct."""
     ends_in_s = None if seen.ends_at_s is None else seen.ends_at_s - now_s
-    return told_to_wire(
+    return announcement_to_wire(
         seen.told,
         cold_s=seen.cold_until_s - now_s,
         ends_in_s=ends_in_s,
--- a/godwitshunt/programs/control_process.py
+++ b/godwitshunt/programs/control_process.py
@@ -20,7 +20,7 @@
 from godwitshunt.programs.start import make_links, start_listening, vm_record
 from godwitshunt.registry import RegistryService
 from godwitshunt.registry.quarantine_api import QuarantineApi
-from godwitshunt.registry.relay import ControlPlace
+from godwitshunt.registry.relay import ControlLocation
 from godwitshunt.settings import Address, ControlSettings
 from godwitshunt.telemetry import Metrics, log_change
 from godwitshunt.timer import TimerService
@@ -71,7 +71,7 @@
         self.api.add_route('POST', '/v1/orders', orders.order)
         self.api.add_status(self.placement.describe)
         self.registry = RegistryService.from_config(
-            ControlPlace(
+            ControlLocation(
                 settings.peer_reached,
                 settings.region,
                 settings.domains,
--- a/godwitshunt/registry/asking.py
+++ b/godwitshunt/registry/asking.py
@@ -12,7 +12,7 @@
 from godwitshunt.registry.contacts import ControlContact, HeldTable
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.joined import JoinedTables
-from godwitshunt.registry.prefixes import PrefixRead
+from godwitshunt.registry.prefixes import CachedPrefix
 from godwitshunt.registry.records import EntryRecord
 from godwitshunt.registry.relay import Scope, relayed_news
 from godwitshunt.registry.suspect_wire import suspects_to_wire
@@ -38,7 +38,7 @@
     ----------
     report : LoadReport
         Its requests at upstreams.
-    reads : tuple of PrefixRead
+    reads : tuple of CachedPrefix
         What they have shown of kept prompts.
     suspects : tuple of SuspectRecord
         Those of them that were lost to upstreams.
@@ -49,7 +49,7 @@
 
     record: EntryRecord
     report: ttypes.LoadReport
-    reads: tuple[PrefixRead, ...]
+    reads: tuple[CachedPrefix, ...]
     suspects: tuple[SuspectRecord, ...]
     chooses: bool
 
--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -19,7 +19,7 @@
 from godwitshunt.registry.ledger import SummedLoads
 from godwitshunt.registry.prefixes import PrefixTable
 from godwitshunt.registry.records import Load
-from godwitshunt.registry.relay import ControlPlace, Scope, relayed_news
+from godwitshunt.registry.relay import ControlLocation, Scope, relayed_news
 from godwitshunt.registry.suspect_wire import suspects_from_wire
 from godwitshunt.registry.views import RegistryView
 from godwitshunt.registry.wire import (
@@ -36,7 +36,7 @@
 TIMEOUT_S = 0.8
 # A control VM whose table has not come from itself for so long is asked for
 # at the others, too: three periods and the way between two regions.
-AROUND_AFTER_S = 0.75
+RELAY_POLL_AFTER_S = 0.75
 # An entry VM of the region needs no longer than this to tell a table.
 LONGEST_WAY_S = 0.1
 # Requests at upstreams that were told longer ago than this say nothing.
@@ -45,7 +45,7 @@
 # here: counted with what it told last, they would be counted twice, and the
 # region's upstreams be taken for full. So that counts no longer than it takes
 # them to move: a question without answer and a poll.
-MOVED_AFTER_S = 0.6
+LOCAL_LOADS_TTL_S = 0.6
 
 
 class ControlTables:
@@ -53,7 +53,7 @@
 
     Parameters
     ----------
-    place : ControlPlace
+    place : ControlLocation
         Where this control VM stands, and which others there are.
     prefixes : PrefixTable
         Takes what others were told of kept prompts by entry VMs.
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        place: ControlPlace,
+        place: ControlLocation,
         prefixes: PrefixTable,
         quarantine: Quarantine,
         links: PeerLinks,
@@ -144,7 +144,7 @@
         of 195 entry VMs crossed between regions four times.
         """
         return any(
-            now_s - table.answered_s > AROUND_AFTER_S
+            now_s - table.answered_s > RELAY_POLL_AFTER_S
             for control, table in self.joined.tables.items()
             if control != self.own
         )
@@ -254,9 +254,11 @@
             control: table
             for control, table in self.joined.tables.items()
             if control != self.own
-            and now_s - table.loads_s <= self.kept_s(control)
+            and now_s - table.loads_asof_s <= self.kept_s(control)
         }
-        of = tuple((control, one.loads_s) for control, one in telling.items())
+        of = tuple(
+            (control, one.loads_asof_s) for control, one in telling.items()
+        )
         if of != self.summed_of:
             self.summed_of = of
             parts = tuple(table.loads for table in telling.values())
@@ -266,13 +268,13 @@
     def kept_s(self, control: str) -> float:
         """Return for how long the requests that one told count."""
         is_here = self.region_of(control) == self.place.region
-        return MOVED_AFTER_S if is_here else LOADS_KEPT_S
+        return LOCAL_LOADS_TTL_S if is_here else LOADS_KEPT_S
 
     def told_s(self, region: str) -> float:
         """Return what time a region's requests were told as of."""
         return max(
             (
-                table.loads_s
+                table.loads_asof_s
                 for table in self.joined.tables.values()
                 if table.region == region
             ),
@@ -295,7 +297,7 @@
         table = self.joined.tables.get(control)
         return '' if table is None else table.region
 
-    def in_region(self, region: str) -> list[str]:
+    def controls_in_region(self, region: str) -> list[str]:
         """Return the control VMs that stand in a region."""
         return [
             control
--- a/godwitshunt/registry/prefixes.py
+++ b/godwitshunt/registry/prefixes.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class PrefixRead:
+class CachedPrefix:
     """A prompt's shared parts that an upstream has read.
 
     Parameters
@@ -44,7 +44,7 @@
 class VersionedRead:
     """A read, and the version of the table that it made."""
 
-    read: PrefixRead
+    read: CachedPrefix
     version: int
 
 
@@ -55,8 +55,8 @@
     Examples
     --------
     >>> table = PrefixTable()
-    >>> table.note(PrefixRead(7, 'i-1', read_s=1.0))
-    >>> table.note(PrefixRead(7, 'i-2', read_s=2.0))
+    >>> table.note(CachedPrefix(7, 'i-1', read_s=1.0))
+    >>> table.note(CachedPrefix(7, 'i-2', read_s=2.0))
     >>> sorted(table.holders(7, now_s=3.0)), table.holders(8, now_s=3.0)
     (['i-1', 'i-2'], frozenset())
     >>> [read.instance for read in table.since(1)]
@@ -69,7 +69,7 @@
     by_key: dict[int, dict[str, float]] = field(default_factory=dict)
     version: int = 0
 
-    def note(self, read: PrefixRead) -> None:
+    def note(self, read: CachedPrefix) -> None:
         """Take a read; an older one than is known changes nothing."""
         known = self.by_key.setdefault(read.key, {})
         if read.read_s <= known.get(read.instance, float('-inf')):
@@ -82,7 +82,7 @@
         while len(self.reads) > MAX_PREFIXES:
             self.drop(next(iter(self.reads)))
 
-    def take(self, reads: Iterable[PrefixRead]) -> None:
+    def take(self, reads: Iterable[CachedPrefix]) -> None:
         """Take several reads."""
         for read in reads:
             self.note(read)
@@ -98,7 +98,7 @@
             if read_s > since_s
         )
 
-    def since(self, version: int) -> tuple[PrefixRead, ...]:
+    def since(self, version: int) -> tuple[CachedPrefix, ...]:
         """Return the reads after a version, the oldest first."""
         newer = takewhile(
             lambda one: one.version > version,
--- a/godwitshunt/registry/relay.py
+++ b/godwitshunt/registry/relay.py
@@ -16,11 +16,11 @@
 from godwitshunt.registry.wire import (
     MILLISECONDS,
     admitted_to_wire,
+    announcement_to_wire,
     endpoint,
     ends_to_wire,
     entry_to_wire,
     loads_to_wire,
-    told_to_wire,
     upstream_to_wire,
 )
 from godwitshunt.settings import Address
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class ControlPlace:
+class ControlLocation:
     """A control VM, and which others there are.
 
     Parameters
@@ -61,7 +61,7 @@
 
 def own_news(
     source: str,
-    place: ControlPlace,
+    place: ControlLocation,
     upstreams: UpstreamTable,
     entries: EntryTable,
     held: ttypes.TableHeld | None,
@@ -73,7 +73,7 @@
     ----------
     source : str
         The control VM's process.
-    place : ControlPlace
+    place : ControlLocation
         Where it stands.
     held : TableHeld or None
         What whoever asks holds of it; None for nothing.
@@ -120,7 +120,7 @@
     """
     loads = None
     admitted: list[ttypes.AdmittedUnits] = []
-    if with_loads and table.loads_s >= table.answered_s:
+    if with_loads and table.loads_asof_s >= table.answered_s:
         loads = loads_to_wire(table.loads.items())
         admitted = admitted_to_wire(table.admitted)
     whole = held is None
@@ -161,7 +161,7 @@
 def heard_to_wire(one: HeardUpstream, now_s: float) -> ttypes.UpstreamInfo:
     """Return an incarnation that another control VM told of as a struct."""
     ends_in_s = None if one.ends_at_s is None else one.ends_at_s - now_s
-    return told_to_wire(
+    return announcement_to_wire(
         one.told,
         cold_s=one.cold_until_s - now_s,
         ends_in_s=ends_in_s,
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -20,9 +20,9 @@
 from godwitshunt.registry.keeper import UpstreamKeeper
 from godwitshunt.registry.kept_upstreams import KeptUpstreams
 from godwitshunt.registry.ledger import LoadLedger, Report, SummedLoads
-from godwitshunt.registry.prefixes import PrefixRead, PrefixTable
+from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.registry.records import EntryRecord, UpstreamAnnounced
-from godwitshunt.registry.relay import ControlPlace, Scope, own_news
+from godwitshunt.registry.relay import ControlLocation, Scope, own_news
 from godwitshunt.registry.suspect_wire import (
     suspects_from_wire,
     suspects_to_wire,
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    place : ControlPlace
+    place : ControlLocation
         Where this control VM stands, and which others there are.
     links : PeerLinks
         Carry the polls.
@@ -78,7 +78,7 @@
 
     def __init__(
         self,
-        place: ControlPlace,
+        place: ControlLocation,
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
@@ -123,7 +123,7 @@
     @classmethod
     def from_config(
         cls,
-        place: ControlPlace,
+        place: ControlLocation,
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
@@ -285,9 +285,9 @@
         if poll.report is None:
             self.ledger.forget(record.name)
         else:
-            self.take_report(record.name, poll.report)
+            self.apply_report(record.name, poll.report)
 
-    def take_report(self, name: str, report: ttypes.LoadReport) -> bool:
+    def apply_report(self, name: str, report: ttypes.LoadReport) -> bool:
         """Take an entry VM's requests; False where later ones are known."""
         now_s = self.timer.now()
         self.take_prefixes(report.prefixes, now_s)
@@ -399,7 +399,7 @@
 def prefixes_after(
     prefixes: PrefixTable,
     version: int | None,
-) -> tuple[PrefixRead, ...]:
+) -> tuple[CachedPrefix, ...]:
     """Return what was read after a version; nothing where not asked."""
     if version is None or version < 0:
         return ()
--- a/godwitshunt/registry/tests/deployment.py
+++ b/godwitshunt/registry/tests/deployment.py
@@ -9,7 +9,7 @@
 from godwitshunt.peer.messages import NotSent, OutcomeUnknown
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.records import EntryRecord
-from godwitshunt.registry.relay import ControlPlace
+from godwitshunt.registry.relay import ControlLocation
 from godwitshunt.registry.service import RegistryService
 from godwitshunt.registry.watch import OwnState, RegistryWatch
 from godwitshunt.settings import Address
@@ -25,9 +25,9 @@
     return Address(host=f'10.0.0.{number}', port=7660)
 
 
-def place(number: int = 1, domain: str = 'a') -> ControlPlace:
+def place(number: int = 1, domain: str = 'a') -> ControlLocation:
     """Return where a control VM stands that knows no other."""
-    return ControlPlace(address(number), REGIONS[domain], REGIONS, tuple)
+    return ControlLocation(address(number), REGIONS[domain], REGIONS, tuple)
 
 
 @dataclass
@@ -136,7 +136,7 @@
     def start_control(self, number: int) -> RegistryService:
         """Return a control VM's registry that has just started."""
         links = CarriedLinks(address(number), f'c-{number}', self.network)
-        place = ControlPlace(
+        place = ControlLocation(
             address(number),
             REGIONS[self.domains[number]],
             REGIONS,
--- a/godwitshunt/registry/tests/test_news_bounds.py
+++ b/godwitshunt/registry/tests/test_news_bounds.py
@@ -134,7 +134,7 @@
     region.watch.contacts.of(str(address(1))).fail()
     await region.watch.poll(address(2))
     now_s = region.deployment.timer.now()
-    message = region.watch.message_to(str(address(2)), now_s)
+    message = region.watch.make_poll(str(address(2)), now_s)
     told = region.deployment.controls[2].reply(message).tables
     assert len(told) == len(region.deployment.controls)
     assert not any(one.whole or one.upstreams for one in told)
--- a/godwitshunt/registry/tests/test_prefixes.py
+++ b/godwitshunt/registry/tests/test_prefixes.py
@@ -3,7 +3,7 @@
 from godwitshunt.registry.prefixes import (
     MAX_PREFIXES,
     PREFIX_KEPT_S,
-    PrefixRead,
+    CachedPrefix,
     PrefixTable,
 )
 from godwitshunt.registry.tests.deployment import Deployment, address
@@ -33,7 +33,7 @@
     upstream that reads the prompt again, and its callers wait for that.
     """
     deployment, (one, other) = await started(101, 102)
-    one.note_read(KEY, 'i-1')
+    one.record_cached_prefix(KEY, 'i-1')
     await deployment.poll(one)
     await deployment.poll(other)
     assert holders(other) == {'i-1'}
@@ -45,7 +45,7 @@
     one, other = deployment.entry(101, 'a'), deployment.entry(102, 'b')
     for watch in (one, other):
         await deployment.greet(watch)
-    one.note_read(KEY, 'i-1')
+    one.record_cached_prefix(KEY, 'i-1')
     await deployment.poll(one)
     await deployment.exchange()
     await deployment.poll(other)
@@ -55,16 +55,16 @@
 async def test_a_read_is_asked_of_the_first_control_vm_alone():
     """Every control VM hears of every read; asked of all, they cost bytes."""
     deployment, (one, other) = await started(101, 102)
-    one.note_read(KEY, 'i-1')
+    one.record_cached_prefix(KEY, 'i-1')
     await deployment.poll(one)
     await deployment.exchange()
     now_s = deployment.timer.now()
-    far = other.message_to(str(address(2)), now_s)
+    far = other.make_poll(str(address(2)), now_s)
     assert deployment.controls[2].reply(far).prefixes == []
-    near = other.message_to(str(address(1)), now_s)
+    near = other.make_poll(str(address(1)), now_s)
     assert len(deployment.controls[1].reply(near).prefixes) == 1
     await deployment.poll(other)
-    near = other.message_to(str(address(1)), now_s)
+    near = other.make_poll(str(address(1)), now_s)
     assert deployment.controls[1].reply(near).prefixes == []
 
 
@@ -75,7 +75,7 @@
     ask it, the places of all prompts.
     """
     deployment, (one, other) = await started(101, 102)
-    one.note_read(KEY, 'i-1')
+    one.record_cached_prefix(KEY, 'i-1')
     await deployment.poll(one)
     deployment.restart(1)
     await deployment.poll(one)
@@ -88,7 +88,7 @@
 async def test_the_next_control_vm_tells_all_where_the_first_falls_silent():
     """The first control VM dies; the next one is asked from then on."""
     deployment, (one, other) = await started(101, 102)
-    one.note_read(KEY, 'i-1')
+    one.record_cached_prefix(KEY, 'i-1')
     await deployment.poll(one)
     await deployment.exchange()
     deployment.network.frozen.add(address(1))
@@ -101,7 +101,7 @@
 async def test_a_read_ages_on_its_way_and_is_forgotten_everywhere():
     """An engine drops what was not used for long; a belief must end, too."""
     deployment, (one, other) = await started(101, 102)
-    one.note_read(KEY, 'i-1')
+    one.record_cached_prefix(KEY, 'i-1')
     await deployment.poll(one)
     deployment.timer.advance(PREFIX_KEPT_S / 2)
     await deployment.poll(one, 1)
@@ -122,7 +122,7 @@
     that dropped them long ago.
     """
     deployment, (one,) = await started(101)
-    one.note_read(KEY, 'i-1')
+    one.record_cached_prefix(KEY, 'i-1')
     await deployment.poll(one)
     deployment.network.takes = lambda: deployment.timer.advance(0.055)
     ends_s = deployment.timer.now() + 1.1 * PREFIX_KEPT_S
@@ -137,16 +137,16 @@
 def test_a_late_old_read_changes_nothing():
     """Reads overtake one another between VMs."""
     table = PrefixTable()
-    table.note(PrefixRead(KEY, 'i-1', read_s=5.0))
-    table.note(PrefixRead(KEY, 'i-1', read_s=4.0))
+    table.note(CachedPrefix(KEY, 'i-1', read_s=5.0))
+    table.note(CachedPrefix(KEY, 'i-1', read_s=4.0))
     assert table.version == 1
-    assert table.since(0) == (PrefixRead(KEY, 'i-1', read_s=5.0),)
+    assert table.since(0) == (CachedPrefix(KEY, 'i-1', read_s=5.0),)
 
 
 def test_a_table_is_bounded():
     """Prompts that are never shared would else fill a VM's memory."""
     table = PrefixTable()
     for key in range(MAX_PREFIXES + 10):
-        table.note(PrefixRead(key, 'i-1', read_s=float(key)))
+        table.note(CachedPrefix(key, 'i-1', read_s=float(key)))
     assert len(table.reads) == len(table.by_key) == MAX_PREFIXES
     assert table.holders(0, now_s=0.0) == frozenset()
--- a/godwitshunt/registry/tests/test_suspects.py
+++ b/godwitshunt/registry/tests/test_suspects.py
@@ -138,7 +138,7 @@
     watch = deployment.entry(11, 'a')
     await deployment.greet(watch)
     now_s = deployment.timer.now()
-    poll = watch.message_to(str(address(1)), now_s)
+    poll = watch.make_poll(str(address(1)), now_s)
     reply = deployment.controls[1].reply(poll)
     assert (poll.suspects, reply.suspects) == ([], [])
     before = len(encode(reply))
--- a/godwitshunt/registry/views.py
+++ b/godwitshunt/registry/views.py
@@ -85,7 +85,7 @@
         Entry VMs by name, those that left among them.
     loads : mapping
         Requests of the entry VMs that report to it.
-    loads_s : float
+    loads_asof_s : float
         These are at least as new as this.
     admitted : mapping
         What its picker has admitted since its process started, by
@@ -103,7 +103,7 @@
     ended: dict[str, int | None] = field(default_factory=dict)
     entries: dict[str, HeardEntry] = field(default_factory=dict)
     loads: Mapping[str, Load] = field(default_factory=dict)
-    loads_s: float = NEVER_S
+    loads_asof_s: float = NEVER_S
     admitted: Mapping[str, float] = field(default_factory=dict)
 
     def take(
@@ -166,10 +166,10 @@
 
     def take_loads(self, news: ttypes.TableNews, asof_s: float) -> None:
         """Take requests at upstreams, where they are newer."""
-        if news.loads is not None and asof_s > self.loads_s:
+        if news.loads is not None and asof_s > self.loads_asof_s:
             self.loads = loads_from_wire(news.loads)
             self.admitted = admitted_from_wire(news.admitted)
-            self.loads_s = asof_s
+            self.loads_asof_s = asof_s
 
     def take_entries(self, news: ttypes.TableNews) -> None:
         """Take what is told of entry VMs."""
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -19,7 +19,7 @@
 from godwitshunt.registry.contacts import Contacts, KnownControl
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.joined import JoinedTables, TakenNews
-from godwitshunt.registry.prefixes import PrefixRead, PrefixTable
+from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.registry.records import (
     EntryRecord,
     Load,
@@ -51,8 +51,8 @@
 # After the start of all VMs each of them hears of the others by and by: for so
 # long the first control VM is asked this often, and a request that finds no
 # upstream may wait for the next answer.
-YOUNG_S = 2.0
-YOUNG_PERIOD_S = 0.12
+WARM_UP_S = 2.0
+WARM_UP_PERIOD_S = 0.12
 # Whole tables are asked of another region's control VM only if none of the own
 # region has answered by then.
 NEAR_ONLY_S = 0.3
@@ -135,7 +135,7 @@
         self.prefixes = PrefixTable()
         self.quarantine = Quarantine(QUARANTINE_S, timer.now, metrics)
         self.loads: Mapping[str, Load] = {}
-        self.loads_s = float('-inf')
+        self.loads_asof_s = float('-inf')
         self.background = Background()
         self.subscription: Subscription | None = None
         self.started_s = float('-inf')
@@ -148,8 +148,8 @@
         """Begin to poll."""
         self.started_s = self.timer.now()
         self.contacts.near_only_until_s = self.started_s + NEAR_ONLY_S
-        self.subscription = self.timer.every(YOUNG_PERIOD_S, self.tick)
-        self.timer.after(YOUNG_S, self.grow_up)
+        self.subscription = self.timer.every(WARM_UP_PERIOD_S, self.tick)
+        self.timer.after(WARM_UP_S, self.grow_up)
         self.poll_all()
 
     def grow_up(self) -> None:
@@ -180,15 +180,15 @@
         )
         return self.timer.now() - answered_s
 
-    def note_read(self, key: int, instance: str) -> None:
+    def record_cached_prefix(self, key: int, instance: str) -> None:
         """Note that an upstream has read a prefix of this VM's request."""
-        read = PrefixRead(key, instance, self.timer.now())
+        read = CachedPrefix(key, instance, self.timer.now())
         self.own_prefixes.note(read)
         self.prefixes.note(read)
 
     def refresh(self, now_s: float) -> None:
         """Join the tables anew."""
-        is_late = now_s - self.loads_s > LOADS_KEPT_S
+        is_late = now_s - self.loads_asof_s > LOADS_KEPT_S
         loads = {} if is_late else self.loads
         self.cached = replace(self.joined.view(now_s), loads=loads)
         self.cached_s = now_s
@@ -223,7 +223,7 @@
             self.told_picker = name
         return None if name is None else self.address_of(name)
 
-    def has_control_here(self) -> bool:
+    def has_local_control(self) -> bool:
         """Tell whether this VM's region is known to have a control VM."""
         contacts = self.contacts.by_name.values()
         return any(contact.region == self.region for contact in contacts)
@@ -258,7 +258,7 @@
     @property
     def is_young(self) -> bool:
         """True for a while after the start, as long as news is still coming."""
-        return self.timer.now() - self.started_s < YOUNG_S
+        return self.timer.now() - self.started_s < WARM_UP_S
 
     def poll_all(self) -> None:
         """Ask every control VM that is not being asked."""
@@ -274,7 +274,7 @@
     def period_s(self) -> float:
         """Return how often the first control VM is asked, at most."""
         if self.is_young:
-            return YOUNG_PERIOD_S - PERIOD_MARGIN_S
+            return WARM_UP_PERIOD_S - PERIOD_MARGIN_S
         calm = self.told_picker is not None
         period_s = CALM_PERIOD_S if calm else POLL_PERIOD_S
         return period_s - PERIOD_MARGIN_S
@@ -289,18 +289,18 @@
         reply = await self.links.call(
             address,
             MessageKind.registry_poll,
-            encode(self.message_to(control, sent_s)),
+            encode(self.make_poll(control, sent_s)),
             POLL_TIMEOUT_S,
         )
         if isinstance(reply, Err):
             self.note_lost(control, type(reply.err_value).__name__)
-            self.retry_first(address)
+            self.retry_initial_poll(address)
             return
         self.note_back(control)
         message = decode(ttypes.PollReply, reply.ok_value)
         self.take(control, message, sent_s, told)
 
-    def retry_first(self, address: Address) -> None:
+    def retry_initial_poll(self, address: Address) -> None:
         """Ask a control VM that never answered again, soon."""
         never = not self.contacts.of(str(address)).source
         if never and self.is_young and self.subscription is not None:
@@ -310,7 +310,7 @@
         """Ask one control VM unless it is being asked."""
         self.background.run(str(address), partial(self.poll, address))
 
-    def message_to(self, control: str, now_s: float) -> ttypes.Poll:
+    def make_poll(self, control: str, now_s: float) -> ttypes.Poll:
         """Return what one control VM is told and asked."""
         known = self.known_control()
         contact = self.contacts.of(control)
@@ -364,7 +364,7 @@
             contact.suspects_version = message.suspects_version
         if message.loads is not None:
             self.loads = loads_from_wire(message.loads)
-            self.loads_s = now_s
+            self.loads_asof_s = now_s
         self.follow_first(was_first)
 
     def own_version(self, control: str) -> OwnVersion:
--- a/godwitshunt/registry/wire.py
+++ b/godwitshunt/registry/wire.py
@@ -5,7 +5,7 @@
 from godwitshunt.exceptions import FrameError
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.ledger import Report, ReportedLoad
-from godwitshunt.registry.prefixes import PrefixRead
+from godwitshunt.registry.prefixes import CachedPrefix
 from godwitshunt.registry.records import EntryRecord, Load, UpstreamAnnounced
 from godwitshunt.registry.starts import EndedStart
 from godwitshunt.registry.table import UpstreamEntry
@@ -42,7 +42,7 @@
     ends_in_s = known.told.ends_in_s
     if ends_in_s is not None:
         ends_in_s -= now_s - known.heard_s
-    return told_to_wire(
+    return announcement_to_wire(
         known.told,
         cold_s=known.cold_until_s - now_s,
         ends_in_s=ends_in_s,
@@ -50,7 +50,7 @@
     )
 
 
-def told_to_wire(
+def announcement_to_wire(
     told: UpstreamAnnounced,
     *,
     cold_s: float,
@@ -244,7 +244,7 @@
 
 
 def prefixes_to_wire(
-    reads: Iterable[PrefixRead],
+    reads: Iterable[CachedPrefix],
     now_s: float,
 ) -> list[ttypes.PrefixInfo]:
     """Return prefixes that were read as structs, with their ages."""
@@ -261,9 +261,9 @@
 def prefixes_from_wire(
     told: Iterable[ttypes.PrefixInfo] | None,
     now_s: float,
-) -> tuple[PrefixRead, ...]:
+) -> tuple[CachedPrefix, ...]:
     """Read prefixes that were read, an age later than was told."""
     return tuple(
-        PrefixRead(one.key, one.instance, now_s - one.age_ms / MILLISECONDS)
+        CachedPrefix(one.key, one.instance, now_s - one.age_ms / MILLISECONDS)
         for one in told or ()
     )
