--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -240,7 +240,7 @@
         health = vm.upstreams.of(name)
         if job.first_s is not None and not is_read:
             is_read = True
-            health.show_life(id(job), unread, self.now_s)
+            health.record_first_bytes(id(job), unread, self.now_s)
             if job.demand.has_affinity:
                 self.tell(
                     vm, CachedPrefix(job.demand.shared_key, name, self.now_s)
--- a/godwitshunt/exchange/gateway.py
+++ b/godwitshunt/exchange/gateway.py
@@ -228,7 +228,7 @@
                     wait_s,
                 ),
             )
-        self.ports.retries.note_first(self.ports.timer.now())
+        self.ports.retries.record_first_try(self.ports.timer.now())
         return Ok(admitted)
 
     async def admit_forward(
@@ -289,7 +289,7 @@
             told = 'the deadline passed on the way'
             return Err(refuse_early(request, ProblemKind.deadline, told))
         self.metrics.count('forwards_received_total')
-        self.ports.retries.note_first(self.ports.timer.now())
+        self.ports.retries.record_first_try(self.ports.timer.now())
         admitted = admit(request, revision.manifest, caller)
         return admitted.map(lambda ready: admit_forwarded(ready, note))
 
--- a/godwitshunt/exchange/health.py
+++ b/godwitshunt/exchange/health.py
@@ -55,12 +55,12 @@
     def tell(self, target: Serve, outcome: AttemptOutcome) -> None:
         """Tell one outcome."""
         self.told = True
-        self.ports.note_outcome(target.upstream, outcome)
+        self.ports.record_outcome(target.upstream, outcome)
 
     def end(self, target: Serve) -> None:
         """Count the end of an attempt; one that said nothing is abandoned."""
         upstream = target.upstream
         if not self.told:
-            self.ports.note_abandoned(upstream)
+            self.ports.record_abandoned(upstream)
         membership = self.ports.membership
         membership.note_finished(upstream.name, target.uncached_tokens)
--- a/godwitshunt/exchange/ports.py
+++ b/godwitshunt/exchange/ports.py
@@ -42,7 +42,7 @@
     def view(self) -> RegionView:
         """Return what is known now."""
 
-    def note_sent(self, name: str, tokens: int) -> None:
+    def record_sent(self, name: str, tokens: int) -> None:
         """Count a request that was sent to an upstream."""
 
     def note_finished(self, name: str, tokens: int) -> None:
@@ -75,7 +75,7 @@
 class RetryBudgetPort(Protocol):
     """Retries and hedges as a share of first tries."""
 
-    def note_first(self, now: float) -> None:
+    def record_first_try(self, now: float) -> None:
         """Count a first try."""
 
     def spend(self, now: float) -> bool:
@@ -112,9 +112,9 @@
         Returns the entry VMs for a caller's name, nearest first.
     queue : AdmissionQueue
         Requests of this VM that no upstream takes now.
-    note_outcome : callable
+    record_outcome : callable
         Takes what an attempt at an upstream came to.
-    note_abandoned : callable
+    record_abandoned : callable
         Takes an upstream whose attempt was given up before it came to
         anything.
     """
@@ -128,5 +128,7 @@
     entries: Callable[[str], tuple[VmRecord, ...]]
     timer: Timer
     queue: AdmissionQueue
-    note_outcome: Callable[[UpstreamView, AttemptOutcome], None] = note_nothing
-    note_abandoned: Callable[[UpstreamView], None] = note_nothing
+    record_outcome: Callable[[UpstreamView, AttemptOutcome], None] = (
+        note_nothing
+    )
+    record_abandoned: Callable[[UpstreamView], None] = note_nothing
--- a/godwitshunt/exchange/request_task.py
+++ b/godwitshunt/exchange/request_task.py
@@ -277,7 +277,7 @@
                 )
                 pool = self.parts.pool
                 tokens = action.target.uncached_tokens
-                membership.note_sent(upstream.name, tokens)
+                membership.record_sent(upstream.name, tokens)
             case Forward():
                 self.attempt = forward_attempt(
                     self.parts,
--- a/godwitshunt/exchange/tests/fakes.py
+++ b/godwitshunt/exchange/tests/fakes.py
@@ -100,7 +100,7 @@
             isolated=self.isolated,
         )
 
-    def note_sent(self, name: str, tokens: int) -> None:
+    def record_sent(self, name: str, tokens: int) -> None:
         self.in_progress[name] += 1
 
     def note_finished(self, name: str, tokens: int) -> None:
--- a/godwitshunt/exchange/tests/local_slices.py
+++ b/godwitshunt/exchange/tests/local_slices.py
@@ -84,7 +84,7 @@
 class FreeRetries:
     """A retry for each failure."""
 
-    def note_first(self, now: float) -> None:
+    def record_first_try(self, now: float) -> None:
         """Count nothing."""
 
     def spend(self, now: float) -> bool:
--- a/godwitshunt/ingress/account.py
+++ b/godwitshunt/ingress/account.py
@@ -93,7 +93,7 @@
         became = 'ended' if outcome is None else type(outcome).__name__
         self.attempts.append(f'{place}:{became}')
 
-    def note_first(self, now_s: float) -> None:
+    def record_first_try(self, now_s: float) -> None:
         """Note when the caller gets the first of its answer."""
         if self.first_s is None:
             self.first_s = now_s - self.request.arrived_s
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -154,11 +154,11 @@
         if refusal is not None:
             return refusal
         outcome = await self.sender.send(choice)
-        await self.note_outcome(choice, outcome)
+        await self.record_outcome(choice, outcome)
         now_s = self.parts.timer.now()
         return self.progress.take(outcome, self.request.remaining_s(now_s))
 
-    async def note_outcome(
+    async def record_outcome(
         self,
         choice: SendHere | HandOver,
         outcome: AttemptOutcome,
@@ -426,7 +426,7 @@
         """Send the caller the end of its answer."""
         match step:
             case Deliver(answer):
-                self.account.note_first(self.parts.timer.now())
+                self.account.record_first_try(self.parts.timer.now())
                 self.close_account(f'answered {answer.status}')
                 await self.writer.whole(answer)
             case Finish():
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -76,7 +76,7 @@
     def note(self) -> None:
         """Note that bytes of the answer came."""
         now_s = self.timer.now()
-        self.health.show_life(self.number, self.tokens, now_s)
+        self.health.record_first_bytes(self.number, self.tokens, now_s)
         if self.first_at_s is None:
             self.first_at_s = now_s
             self.on_first()
@@ -135,7 +135,7 @@
         self.note_first_try(sent_s)
         health.begin(signs.number, tokens, sent_s)
         parts.picker.schedule_report()
-        parts.upstreams.note_sent(self.request.service.name, told.incarnation)
+        parts.upstreams.record_sent(self.request.service.name, told.incarnation)
         attempt = self.make_attempt(
             told.address,
             self.upstream_request(told),
@@ -155,7 +155,7 @@
         """Count a request that no upstream has had, for the retry budget."""
         if not self.progress.arrivals:
             service = self.request.service.name
-            self.parts.budgets.retry_window(service).note_first(now_s)
+            self.parts.budgets.retry_window(service).record_first_try(now_s)
 
     def learn(
         self,
@@ -247,7 +247,7 @@
         the shared parts for the next request that has them.
         """
         self.progress.begun = True
-        self.account.note_first(self.parts.timer.now())
+        self.account.record_first_try(self.parts.timer.now())
         prompt = self.request.prompt
         if self.reader is not None and prompt.worth_keeping:
             self.parts.watch.record_cached_prefix(
--- a/godwitshunt/membership/records.py
+++ b/godwitshunt/membership/records.py
@@ -101,7 +101,7 @@
         if added or dropped:
             self.prefix_set = frozenset(self.prefixes)
 
-    def note_sent(self, tokens: int, now_s: float) -> None:
+    def record_sent(self, tokens: int, now_s: float) -> None:
         """Count a request that this VM sent."""
         self.sends.append((now_s, tokens))
 
--- a/godwitshunt/membership/table.py
+++ b/godwitshunt/membership/table.py
@@ -222,7 +222,7 @@
         if record is None:
             return
         if isinstance(event, Sent):
-            record.note_sent(event.tokens, now_s)
+            record.record_sent(event.tokens, now_s)
         else:
             record.note_finished(event.tokens, now_s)
         self.changed.add(event.name)
--- a/godwitshunt/membership/task.py
+++ b/godwitshunt/membership/task.py
@@ -200,7 +200,7 @@
             self.connection = state
         return holds_itself_isolated(state)
 
-    def note_sent(self, upstream: str, tokens: int) -> None:
+    def record_sent(self, upstream: str, tokens: int) -> None:
         """Count a request sent to an upstream of this region."""
         self.table.apply(Sent(upstream, tokens), self.timer.now())
 
--- a/godwitshunt/picking/learner.py
+++ b/godwitshunt/picking/learner.py
@@ -48,9 +48,9 @@
             case Shown.full:
                 health.full_until_s = now_s + FULL_S
                 if self.has_room(made.instance):
-                    self.note_outcome(made, outliers.Failed(), now_s)
+                    self.record_outcome(made, outliers.Failed(), now_s)
             case _:
-                self.note_outcome(made, outliers.Failed(), now_s)
+                self.record_outcome(made, outliers.Failed(), now_s)
 
     def note_answer(
         self,
@@ -65,14 +65,14 @@
         have to bear its load, and be left out in their turn.
         """
         health = self.upstreams.of(made.instance)
-        health.note_time(made.first_s, made.predicted_s, now_s)
+        health.record_response_time(made.first_s, made.predicted_s, now_s)
         if self.has_room(made.instance):
             learned = self.upstreams.learned(service)
             learned.note(made.first_s, made.took_s)
             if not made.was_held_up:
                 learned.note_reading(made.first_s, made.unread_tokens)
         in_time = outliers.Answered(made.predicted_s, made.predicted_s)
-        self.note_outcome(made, in_time, now_s)
+        self.record_outcome(made, in_time, now_s)
 
     def has_room(self, instance: str) -> bool:
         """Tell whether an upstream has a free slot.
@@ -90,7 +90,7 @@
         others = self.view().loads.get(instance, NO_LOAD)
         return others.in_flight + self.upstreams.of(instance).in_flight
 
-    def note_outcome(
+    def record_outcome(
         self,
         made: AttemptShown,
         outcome: outliers.AttemptOutcome,
@@ -101,7 +101,7 @@
             one.told.incarnation
             for one in of_service(self.view(), made.service)
         ]
-        left_out = self.upstreams.note_outcome(
+        left_out = self.upstreams.record_outcome(
             made.service,
             made.instance,
             outcome,
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -209,10 +209,10 @@
         """Note which upstreams have shown an entry VM nothing for how long."""
         before = self.reported.get(name, frozenset())
         for instance in before - report.loads.keys():
-            self.picker.upstreams.of(instance).note_reported(name, None, None)
+            self.picker.upstreams.of(instance).record_report(name, None, None)
         for instance, one in report.loads.items():
             health = self.picker.upstreams.of(instance)
-            health.note_reported(name, one.oldest_s, one.heard_s)
+            health.record_report(name, one.oldest_s, one.heard_s)
         self.reported[name] = frozenset(report.loads)
 
     def forget_absent(self) -> None:
@@ -220,7 +220,7 @@
         for name in self.reported.keys() - self.registry.ledger.entries.keys():
             for instance in self.reported.pop(name):
                 health = self.picker.upstreams.of(instance)
-                health.note_reported(name, None, None)
+                health.record_report(name, None, None)
 
     def give(
         self, question: DestinationRequest, now_s: float
--- a/godwitshunt/picking/tests/test_failing_upstreams.py
+++ b/godwitshunt/picking/tests/test_failing_upstreams.py
@@ -30,7 +30,7 @@
     """Return a chooser whose own region's only upstream is left out."""
     upstreams = Upstreams()
     for _ in range(12):
-        upstreams.note_outcome(
+        upstreams.record_outcome(
             'llm',
             HERE,
             outliers.Failed(),
--- a/godwitshunt/picking/upstreams.py
+++ b/godwitshunt/picking/upstreams.py
@@ -52,7 +52,7 @@
             self.speeds[service.name] = known
         return known
 
-    def note_outcome(
+    def record_outcome(
         self,
         service: str,
         instance: str,
@@ -80,11 +80,11 @@
         detector = self.outliers.get(service)
         return frozenset() if detector is None else detector.excluded(now_s)
 
-    def note_sent(self, service: str, instance: str) -> None:
+    def record_sent(self, service: str, instance: str) -> None:
         """Note that a request goes to an upstream; it may be a probe."""
         detector = self.outliers.get(service)
         if detector is not None:
-            detector.note_sent(instance)
+            detector.record_sent(instance)
 
     def reported(self) -> Mapping[str, ReportedLoad]:
         """Return this VM's own requests, as they are reported."""
--- a/godwitshunt/programs/entry.py
+++ b/godwitshunt/programs/entry.py
@@ -110,8 +110,8 @@
             entries=directory.entries,
             timer=self.timer,
             queue=self.queue,
-            note_outcome=self.router.note_outcome,
-            note_abandoned=self.router.note_abandoned,
+            record_outcome=self.router.record_outcome,
+            record_abandoned=self.router.record_abandoned,
         )
 
     def apply_revision(self, revision: Revision) -> None:
--- a/godwitshunt/programs/entry_ports.py
+++ b/godwitshunt/programs/entry_ports.py
@@ -57,9 +57,9 @@
         """Return what is known now."""
         return self.task.view(self.configuration.quorum_age_s())
 
-    def note_sent(self, name: str, tokens: int) -> None:
+    def record_sent(self, name: str, tokens: int) -> None:
         """Count a request that was sent to an upstream."""
-        self.task.note_sent(name, tokens)
+        self.task.record_sent(name, tokens)
 
     def note_finished(self, name: str, tokens: int) -> None:
         """Count the end of a request, however it ended."""
@@ -133,9 +133,9 @@
         """Follow the manifest's share."""
         self.budget.share = revision.manifest.retry_share
 
-    def note_first(self, now: float) -> None:
+    def record_first_try(self, now: float) -> None:
         """Count a first try."""
-        self.budget.note_first(now)
+        self.budget.record_first_try(now)
 
     def spend(self, now: float) -> bool:
         """Take one retry; False where the budget is spent."""
--- a/godwitshunt/routing/messages.py
+++ b/godwitshunt/routing/messages.py
@@ -84,7 +84,7 @@
         Predicted seconds to the first token.
     uncached_tokens : int
         Prompt tokens that the upstream likely has to compute; what
-        `note_sent` of the membership is told.
+        `record_sent` of the membership is told.
     """
 
     upstream: UpstreamView
--- a/godwitshunt/routing/outliers.py
+++ b/godwitshunt/routing/outliers.py
@@ -196,7 +196,7 @@
     def excluded(self, now: float) -> frozenset[str]:
         """Return upstreams that get no work now, for `RouteRequest.excluded`.
 
-        One whose time is over is left in until `note_sent` names it, so that
+        One whose time is over is left in until `record_sent` names it, so that
         one request probes it.
         """
         return frozenset(
@@ -206,7 +206,7 @@
             and (now < state.ejected_until_s or state.probing)
         )
 
-    def note_sent(self, upstream: str) -> None:
+    def record_sent(self, upstream: str) -> None:
         """Note that a request goes to an upstream; it may be its probe."""
         state = self.states.get(upstream)
         if state is not None and state.ejected_until_s is not None:
--- a/godwitshunt/routing/ramp.py
+++ b/godwitshunt/routing/ramp.py
@@ -94,7 +94,7 @@
                 names.append(name)
         return frozenset(names)
 
-    def note_sent(self, upstream: str, uncached_tokens: float) -> None:
+    def record_sent(self, upstream: str, uncached_tokens: float) -> None:
         """Count the uncached prompt tokens of a request.
 
         The bucket may go below zero by one prompt, else a prompt longer than
--- a/godwitshunt/routing/retry_budget.py
+++ b/godwitshunt/routing/retry_budget.py
@@ -39,9 +39,9 @@
     --------
     >>> budget = RetryBudget.from_config(0.5)
     >>> budget.tokens = 0.0
-    >>> budget.note_first(now=0.0), budget.spend(now=0.0)
+    >>> budget.record_first_try(now=0.0), budget.spend(now=0.0)
     (None, False)
-    >>> budget.note_first(now=0.0), budget.spend(now=0.0)
+    >>> budget.record_first_try(now=0.0), budget.spend(now=0.0)
     (None, True)
     """
 
@@ -54,7 +54,7 @@
         """Make a full budget from the manifest's ``retry_share``."""
         return cls(share)
 
-    def note_first(self, now: float) -> None:
+    def record_first_try(self, now: float) -> None:
         """Earn a share of a retry by a first try."""
         self.refill(now)
         self.earn(self.share)
--- a/godwitshunt/routing/retry_window.py
+++ b/godwitshunt/routing/retry_window.py
@@ -54,7 +54,7 @@
     >>> window = RetryWindow(RetryBounds(share=0.5, allowance=0))
     >>> window.spend(now_s=0, vms=1)
     False
-    >>> window.note_first(0), window.note_first(0)
+    >>> window.record_first_try(0), window.record_first_try(0)
     (None, None)
     >>> window.spend(now_s=1, vms=1), window.spend(now_s=1, vms=1)
     (True, False)
@@ -66,7 +66,7 @@
     firsts: deque[float] = field(default_factory=deque)
     repeats: deque[float] = field(default_factory=deque)
 
-    def note_first(self, now_s: float) -> None:
+    def record_first_try(self, now_s: float) -> None:
         """Count a first try."""
         self.forget(now_s)
         self.firsts.append(now_s)
--- a/godwitshunt/routing/router.py
+++ b/godwitshunt/routing/router.py
@@ -100,27 +100,27 @@
         """Count a decision that sends a request to an upstream."""
         match decision:
             case Serve(upstream, uncached_tokens=uncached):
-                self.ramp.note_sent(upstream.name, uncached)
+                self.ramp.record_sent(upstream.name, uncached)
                 detector = self.services.get(upstream.service)
                 if detector is not None:
-                    detector.note_sent(upstream.name)
+                    detector.record_sent(upstream.name)
         return decision
 
-    def note_outcome(
+    def record_outcome(
         self,
         upstream: UpstreamView,
         outcome: AttemptOutcome,
     ) -> None:
         """Count what came of an attempt.
 
-        An attempt that was given up goes to `note_abandoned` instead.
+        An attempt that was given up goes to `record_abandoned` instead.
         """
         service = upstream.service
         detector = self.services.setdefault(service, OutlierDetector())
         present = self.serving.get(service, frozenset())
         detector.note(upstream.name, outcome, present, self.timer.now())
 
-    def note_abandoned(self, upstream: UpstreamView) -> None:
+    def record_abandoned(self, upstream: UpstreamView) -> None:
         """Count an attempt that was given up before it came to anything.
 
         The caller went away, or the deadline passed; that says nothing of an
@@ -129,7 +129,7 @@
         """
         detector = self.services.get(upstream.service)
         if detector is not None and detector.is_probing(upstream.name):
-            self.note_outcome(upstream, Failed())
+            self.record_outcome(upstream, Failed())
 
     def observe(self, upstreams: Iterable[UpstreamView], now: float) -> None:
         """Look at all upstreams, now and then."""
--- a/godwitshunt/routing/tests/test_limits.py
+++ b/godwitshunt/routing/tests/test_limits.py
@@ -234,7 +234,7 @@
     budget = RetryBudget.from_config(share)
     spent = 0
     for number in range(10000):
-        budget.note_first(number * 0.001)
+        budget.record_first_try(number * 0.001)
         spent += sum(budget.spend(number * 0.001) for _ in range(3))
     reserve = RESERVE_TRIES + 5 if share else 0
     assert spent <= share * 10000 + reserve + 1e-6
--- a/godwitshunt/routing/tests/test_overload.py
+++ b/godwitshunt/routing/tests/test_overload.py
@@ -185,14 +185,14 @@
     found = detector({'e2': Failed()})
     later = FIRST_EJECTION_S + 0.1
     assert found.excluded(later) == set()
-    found.note_sent('e2')
+    found.record_sent('e2')
     assert found.excluded(later) == {'e2'}
     found.note('e2', Failed(), NAMES, later)
     assert found.excluded(later + FIRST_EJECTION_S) == {'e2'}
     later += 2 * FIRST_EJECTION_S
     for _ in range(2):
         assert found.excluded(later) == set()
-        found.note_sent('e2')
+        found.record_sent('e2')
         found.note('e2', FAST, NAMES, later)
     assert not found.is_ejected('e2')
     found.forget(('e1',))
@@ -215,7 +215,7 @@
     sent = 0
     for tick in range(seconds * 100):
         if not ramp.held(1.0 + tick / 100):
-            ramp.note_sent('e1', uncached_tokens)
+            ramp.record_sent('e1', uncached_tokens)
             sent += 1
     return sent
 
@@ -268,7 +268,7 @@
     for seed in range(60):
         chosen.append(decide(router, all_four, seed=seed).upstream.name)
         if chosen[-1] == 'e0':
-            router.note_outcome(engines[0], Failed())
+            router.record_outcome(engines[0], Failed())
     assert router.held('chat', 0.0) == {'e0'}
     assert chosen.count('e0') < 10
     timer.advance(FIRST_EJECTION_S + 1)
--- a/godwitshunt/routing/tests/test_router.py
+++ b/godwitshunt/routing/tests/test_router.py
@@ -70,14 +70,14 @@
         )
         assert isinstance(decision, Serve)
         if outcome is not None:
-            self.router.note_outcome(decision.upstream, outcome)
+            self.router.record_outcome(decision.upstream, outcome)
         return decision.upstream
 
     def fail(self, name: str) -> None:
         """Let an upstream fail until it is ejected."""
         self.chosen()
         for _ in range(12):
-            self.router.note_outcome(upstream(name), Failed())
+            self.router.record_outcome(upstream(name), Failed())
 
 
 def test_failing_upstream_gets_nothing_until_probes_succeed():
@@ -113,6 +113,6 @@
         probed = False
         while not probed:
             probed = desk.send(None).name == 'one'
-        desk.router.note_abandoned(upstream('one'))
+        desk.router.record_abandoned(upstream('one'))
     desk.timer.advance(11)
     assert 'one' in desk.chosen()
--- a/godwitshunt/routing/tests/test_shared_budgets.py
+++ b/godwitshunt/routing/tests/test_shared_budgets.py
@@ -27,7 +27,7 @@
         now_s += random.expovariate(200)
         window = windows[int(random.random() ** 3 * vms)]
         if random.choice(FIRST_OR_REPEAT):
-            window.note_first(now_s)
+            window.record_first_try(now_s)
             firsts.append(now_s)
         elif window.spend(now_s, vms):
             repeats.append(now_s)
--- a/godwitshunt/routing/tests/test_upstream_health.py
+++ b/godwitshunt/routing/tests/test_upstream_health.py
@@ -28,7 +28,7 @@
         under_way.append((now_s + REAL_S, predicted_s))
         while under_way and under_way[0][0] <= now_s:
             _, was_predicted_s = under_way.popleft()
-            health.note_time(REAL_S, was_predicted_s, now_s)
+            health.record_response_time(REAL_S, was_predicted_s, now_s)
         if now_s > 10:
             seen.append(health.expected_delay_s(now_s))
     missing_s = REAL_S - KNOWN_S
@@ -39,6 +39,6 @@
 def test_a_delay_of_long_ago_says_little():
     """A queue is read in seconds; what it taught must not outlast it."""
     health = UpstreamHealth()
-    health.note_time(2.0, 0.5, now_s=10.0)
+    health.record_response_time(2.0, 0.5, now_s=10.0)
     assert health.expected_delay_s(10.0) == pytest.approx(0.225)
     assert health.expected_delay_s(13.0) < health.expected_delay_s(10.0) / 7
--- a/godwitshunt/routing/upstream_health.py
+++ b/godwitshunt/routing/upstream_health.py
@@ -75,7 +75,9 @@
         self.pending_tokens += tokens
         self.waiting_since[number] = now_s
 
-    def show_life(self, number: int, tokens: int, now_s: float) -> None:
+    def record_first_bytes(
+        self, number: int, tokens: int, now_s: float
+    ) -> None:
         """Note a request's first sign of an answer."""
         self.heard_s = now_s
         if self.waiting_since.pop(number, None) is not None:
@@ -107,7 +109,7 @@
         """Return when the oldest waiting request was sent; None for none."""
         return min(self.waiting_since.values(), default=None)
 
-    def note_reported(
+    def record_report(
         self,
         reporter: str,
         oldest_s: float | None,
@@ -130,7 +132,7 @@
         if heard_s is not None:
             self.heard_s = max(self.heard_s, heard_s)
 
-    def note_time(
+    def record_response_time(
         self,
         took_s: float,
         predicted_s: float,
