--- a/godwitshunt/ingress/account.py
+++ b/godwitshunt/ingress/account.py
@@ -11,7 +11,7 @@
     Limited,
     NoPlace,
     SendHere,
-    describe,
+    describe_candidate,
 )
 from godwitshunt.telemetry import Metrics, log_change
 
@@ -78,9 +78,9 @@
                 place = 'overloaded' if overloaded else 'no upstream'
             case Limited():
                 place = 'limited'
-        candidates = ' '.join(map(describe, choice.ranked))
-        if isinstance(choice, NoPlace) and choice.left_out:
-            candidates = f'none: {", ".join(choice.left_out)}'
+        candidates = ' '.join(map(describe_candidate, choice.ranked))
+        if isinstance(choice, NoPlace) and choice.exclusions:
+            candidates = f'none: {", ".join(choice.exclusions)}'
         candidates = candidates or 'none'
         self.choices.append(f'{place} of {candidates}')
 
--- a/godwitshunt/picking/choices.py
+++ b/godwitshunt/picking/choices.py
@@ -102,7 +102,7 @@
         When one may have room.
     chosen_by_picker : bool
         True where the region's picker said so.
-    left_out : tuple of str
+    exclusions : tuple of str
         Why each upstream gets no request, where none does.
     """
 
@@ -110,7 +110,7 @@
     retry_after_s: float
     ranked: tuple[Ranked, ...] = ()
     chosen_by_picker: bool = False
-    left_out: tuple[str, ...] = ()
+    exclusions: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -130,7 +130,7 @@
 Choice = SendHere | HandOver | NoPlace | Limited
 
 
-def describe(ranked: Ranked) -> str:
+def describe_candidate(ranked: Ranked) -> str:
     """Return a candidate: name, region, prediction, cost and load."""
     one = ranked.candidate
     kept = '/kept' if one.cached else ''
--- a/godwitshunt/picking/choosing.py
+++ b/godwitshunt/picking/choosing.py
@@ -93,7 +93,7 @@
             return NoPlace(
                 overloaded=False,
                 retry_after_s=wait_s,
-                left_out=self.left_out(ask, view, revision),
+                exclusions=self.exclusions(ask, view, revision),
             )
         speed = self.upstreams.speed(ask.service)
         ranked = rank(found, ask.demand, speed)
@@ -183,21 +183,21 @@
         ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
-        left_out: frozenset[str],
+        exclusions: frozenset[str],
     ) -> Iterator[Candidate]:
         """Give the upstreams that would take a request, without some."""
         reachable = self.reachable(ask, view)
         for seen in of_service(view, ask.service.name):
             if seen.region not in reachable:
                 continue
-            if seen.told.incarnation in left_out:
+            if seen.told.incarnation in exclusions:
                 continue
             if self.filter.refusal(seen, ask, revision) is None:
                 candidate = self.candidate(seen, ask, view)
                 if not is_full(candidate):
                     yield candidate
 
-    def left_out(
+    def exclusions(
         self,
         ask: ChoiceRequest,
         view: RegistryView,
--- a/godwitshunt/picking/learner.py
+++ b/godwitshunt/picking/learner.py
@@ -101,14 +101,14 @@
             one.told.incarnation
             for one in of_service(self.view(), made.service)
         ]
-        left_out = self.upstreams.record_outcome(
+        exclusions = self.upstreams.record_outcome(
             made.service,
             made.instance,
             outcome,
             present,
             now_s,
         )
-        if left_out:
+        if exclusions:
             log_change(
                 'picking:upstream_left_out',
                 instance=made.instance,
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -13,7 +13,7 @@
     Limited,
     NoPlace,
     SendHere,
-    describe,
+    describe_candidate,
 )
 from godwitshunt.picking.handed import HandedLoads
 from godwitshunt.picking.learner import Learner
@@ -296,9 +296,9 @@
     """Return what a choice was made of, for logs."""
     if isinstance(given, Unable):
         return []
-    if isinstance(given.choice, NoPlace) and given.choice.left_out:
-        return list(given.choice.left_out)
-    return [describe(one) for one in given.choice.ranked]
+    if isinstance(given.choice, NoPlace) and given.choice.exclusions:
+        return list(given.choice.exclusions)
+    return [describe_candidate(one) for one in given.choice.ranked]
 
 
 def kind_of(given: Given | Unable) -> str:
