--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -38,7 +38,7 @@
     SendHere,
 )
 from godwitshunt.picking.picker import DestinationRequest
-from godwitshunt.quarantine import Standing
+from godwitshunt.quarantine import QuarantineStatus
 from godwitshunt.registry import UpstreamSeen
 from godwitshunt.routing.selection import Demand
 
@@ -187,9 +187,9 @@
             return None
         fingerprint = self.request.fingerprint
         assessment = quarantine.assessment(fingerprint, is_probe=self.is_probe)
-        if assessment.standing is Standing.clear:
+        if assessment.status is QuarantineStatus.clear:
             return None
-        if assessment.standing is Standing.quarantined:
+        if assessment.status is QuarantineStatus.quarantined:
             self.retry_after_s = assessment.wait_s
             self.is_quarantined = True
             self.parts.metrics.count(
@@ -200,7 +200,7 @@
         if self.progress.runs:
             self.progress.reasons.append(assessment.reason)
             return self.progress.give_up()
-        if assessment.standing is Standing.on_probation:
+        if assessment.status is QuarantineStatus.on_probation:
             self.is_probe = True
             quarantine.begin_probe(fingerprint)
         return None
@@ -337,8 +337,8 @@
         is_limited = name and not self.request.handed_over
         now_s = self.parts.timer.now()
         if is_limited:
-            standing = self.parts.limit_standing()
-            wait_s = limits.wait_s(name, cost, standing, now_s)
+            status = self.parts.limit_standing()
+            wait_s = limits.wait_s(name, cost, status, now_s)
             if wait_s:
                 return Limited(wait_s)
         choice = self.choose_alone_unlimited()
--- a/godwitshunt/quarantine/__init__.py
+++ b/godwitshunt/quarantine/__init__.py
@@ -12,7 +12,7 @@
     QUARANTINE_S,
     Assessment,
     Quarantine,
-    Standing,
+    QuarantineStatus,
 )
 from godwitshunt.quarantine.table import (
     SUSPECTED_CRASHES,
@@ -39,6 +39,6 @@
     'find_confirmed',
     'Quarantine',
     'QUARANTINE_S',
-    'Standing',
+    'QuarantineStatus',
     'Assessment',
 ]
--- a/godwitshunt/quarantine/state.py
+++ b/godwitshunt/quarantine/state.py
@@ -27,7 +27,7 @@
     return secrets.token_hex(SESSION_BYTES)
 
 
-class Standing(Enum):
+class QuarantineStatus(Enum):
     """What is held against a request.
 
     `clear`: nothing that matters. `suspected`: upstreams ended under it, and
@@ -53,17 +53,17 @@
         Seconds until the end of its quarantine.
     """
 
-    standing: Standing
+    status: QuarantineStatus
     places: tuple[str, ...] = ()
     wait_s: float = 0.0
 
     @property
     def reason(self) -> str:
         """What is told to callers and in logs."""
-        return f'{self.standing.value}: lost to {", ".join(self.places)}'
+        return f'{self.status.value}: lost to {", ".join(self.places)}'
 
 
-CLEAR = Assessment(Standing.clear)
+CLEAR = Assessment(QuarantineStatus.clear)
 
 
 @dataclass
@@ -95,7 +95,7 @@
     metrics: Metrics
     table: SuspectTable = field(default_factory=SuspectTable)
     own: SuspectTable = field(default_factory=SuspectTable)
-    told: dict[Fingerprint, Standing] = field(default_factory=dict)
+    told: dict[Fingerprint, QuarantineStatus] = field(default_factory=dict)
     told_version: int = 0
     probing: set[Fingerprint] = field(default_factory=set)
     session: str = field(default_factory=draw_session)
@@ -155,13 +155,15 @@
         if fingerprint not in self.table.confirmed():
             if len(places) < SUSPECTED_CRASHES:
                 return CLEAR
-            return Assessment(Standing.suspected, places)
+            return Assessment(QuarantineStatus.suspected, places)
         wait_s = record.last_loss_s() + self.length_s - self.now()
         if wait_s > 0:
-            return Assessment(Standing.quarantined, places, wait_s)
+            return Assessment(QuarantineStatus.quarantined, places, wait_s)
         if fingerprint in self.probing and not is_probe:
-            return Assessment(Standing.quarantined, places, self.length_s)
-        return Assessment(Standing.on_probation, places)
+            return Assessment(
+                QuarantineStatus.quarantined, places, self.length_s
+            )
+        return Assessment(QuarantineStatus.on_probation, places)
 
     def begin_probe(self, fingerprint: Fingerprint) -> None:
         """Try a request on probation; others like it wait for its end."""
@@ -177,10 +179,10 @@
         return [
             {
                 'fingerprint': str(fingerprint),
-                'standing': standing.value,
+                'standing': status.value,
                 **self.evidence(fingerprint),
             }
-            for fingerprint, standing in self.told.items()
+            for fingerprint, status in self.told.items()
         ]
 
     def tick(self) -> None:
@@ -202,16 +204,16 @@
     def tell_change(self, fingerprint: Fingerprint) -> None:
         """Log a change of what is held against one request."""
         assessment = self.assessment(fingerprint)
-        before = self.told.get(fingerprint, Standing.clear)
-        if assessment.standing is before:
+        before = self.told.get(fingerprint, QuarantineStatus.clear)
+        if assessment.status is before:
             return
-        self.told[fingerprint] = assessment.standing
-        if assessment.standing is Standing.clear:
+        self.told[fingerprint] = assessment.status
+        if assessment.status is QuarantineStatus.clear:
             self.told.pop(fingerprint)
         log_change(
             'quarantine:standing_changed',
             fingerprint=str(fingerprint),
-            now=assessment.standing.value,
+            now=assessment.status.value,
             before=before.value,
             **self.evidence(fingerprint),
         )
--- a/godwitshunt/quarantine/tests/test_machine.py
+++ b/godwitshunt/quarantine/tests/test_machine.py
@@ -13,7 +13,7 @@
     Loss,
     LostRequest,
     Quarantine,
-    Standing,
+    QuarantineStatus,
 )
 from godwitshunt.quarantine.records import SAME_MOMENT_S
 from godwitshunt.registry.suspect_wire import (
@@ -125,7 +125,7 @@
         for one in self.quarantines:
             record = one.table.records.get(POPULAR)
             if record is not None and record.cleared_s == self.now_s:
-                assert one.assessment(POPULAR).standing is Standing.clear
+                assert one.assessment(POPULAR).status is QuarantineStatus.clear
 
     def teardown(self):
         """Let all hear of all: then all believe the same."""
--- a/godwitshunt/quarantine/tests/test_standing.py
+++ b/godwitshunt/quarantine/tests/test_standing.py
@@ -7,7 +7,7 @@
     Loss,
     LostRequest,
     Quarantine,
-    Standing,
+    QuarantineStatus,
 )
 from godwitshunt.telemetry import Metrics
 
@@ -47,9 +47,9 @@
     quarantine.record_loss(LostRequest(LETHAL, '', 5, loss))
 
 
-def standing(quarantine, **fields):
+def status(quarantine, **fields):
     """Return what is held against the request."""
-    return quarantine.assessment(LETHAL, **fields).standing
+    return quarantine.assessment(LETHAL, **fields).status
 
 
 def test_quarantine_ends_and_begins_again_with_one_more_end(
@@ -57,41 +57,41 @@
     quarantine,
 ):
     """A request that ends three more upstreams after each quarantine."""
-    assert standing(quarantine) is Standing.quarantined
+    assert status(quarantine) is QuarantineStatus.quarantined
     assert quarantine.assessment(LETHAL).wait_s == LENGTH_S
     clock.now_s = LENGTH_S + 1
     quarantine.tick()
-    assert standing(quarantine) is Standing.on_probation
+    assert status(quarantine) is QuarantineStatus.on_probation
     lose(quarantine, 'i-4')
-    assert standing(quarantine) is Standing.quarantined
+    assert status(quarantine) is QuarantineStatus.quarantined
 
 
 def test_one_at_a_time_is_tried_on_probation(clock, quarantine):
     """Many repeats that are let through at the end of a quarantine."""
     clock.now_s = LENGTH_S + 1
     quarantine.begin_probe(LETHAL)
-    assert standing(quarantine) is Standing.quarantined
-    assert standing(quarantine, is_probe=True) is Standing.on_probation
+    assert status(quarantine) is QuarantineStatus.quarantined
+    assert status(quarantine, is_probe=True) is QuarantineStatus.on_probation
     quarantine.end_probe(LETHAL)
-    assert standing(quarantine) is Standing.on_probation
+    assert status(quarantine) is QuarantineStatus.on_probation
 
 
 def test_whole_answer_or_pardon_ends_a_quarantine(clock, quarantine):
     """A request that is kept back though its cause was mended."""
     clock.now_s += 1.0
     assert quarantine.clear(LETHAL)
-    assert standing(quarantine) is Standing.clear
+    assert status(quarantine) is QuarantineStatus.clear
     assert not quarantine.clear(LETHAL)
     others = Quarantine(LENGTH_S, clock, Metrics())
     others.join(quarantine.own.since(0))
-    assert standing(others) is Standing.clear
+    assert status(others) is QuarantineStatus.clear
 
 
 def test_all_is_forgotten_in_the_end(clock, quarantine):
     """Memory that grows with each request that was ever lost."""
     clock.now_s = 10 * LENGTH_S
     quarantine.tick()
-    assert standing(quarantine) is Standing.clear
+    assert status(quarantine) is QuarantineStatus.clear
     assert not quarantine.table.records
     assert not quarantine.own.records
     assert not quarantine.told
--- a/godwitshunt/registry/tests/test_after_the_dark.py
+++ b/godwitshunt/registry/tests/test_after_the_dark.py
@@ -6,7 +6,12 @@
 import pytest
 
 from godwitshunt.exceptions import StorageError
-from godwitshunt.quarantine import Fingerprint, Loss, LostRequest, Standing
+from godwitshunt.quarantine import (
+    Fingerprint,
+    Loss,
+    LostRequest,
+    QuarantineStatus,
+)
 from godwitshunt.registry.joined import JoinedTables
 from godwitshunt.registry.kept_upstreams import FILE_NAME, KeptUpstreams
 from godwitshunt.registry.service import RegistryService
@@ -186,4 +191,4 @@
     await before.keeper.keep()
     after = started(tmp_path)
     assessment = after.quarantine.assessment(LETHAL)
-    assert assessment.standing is Standing.quarantined
+    assert assessment.status is QuarantineStatus.quarantined
--- a/godwitshunt/registry/tests/test_quarantine_api.py
+++ b/godwitshunt/registry/tests/test_quarantine_api.py
@@ -5,7 +5,12 @@
 import pytest
 
 from godwitshunt.configuration.operator_http import OperatorRequest
-from godwitshunt.quarantine import Fingerprint, Loss, LostRequest, Standing
+from godwitshunt.quarantine import (
+    Fingerprint,
+    Loss,
+    LostRequest,
+    QuarantineStatus,
+)
 from godwitshunt.registry.quarantine_api import QuarantineApi
 from godwitshunt.registry.tests.deployment import Deployment
 
@@ -51,14 +56,14 @@
     watch = deployment.entry(11, 'a')
     await deployment.greet(watch)
     assessment = watch.quarantine.assessment(LETHAL)
-    assert assessment.standing is Standing.quarantined
+    assert assessment.status is QuarantineStatus.quarantined
     asked = {'fingerprint': str(LETHAL)}
     path = '/v1/quarantine/release'
     came = await api(deployment).release(request('POST', path, asked))
     assert came.status == 200
     await deployment.exchange()
     await deployment.poll(watch, 1)
-    assert watch.quarantine.assessment(LETHAL).standing is Standing.clear
+    assert watch.quarantine.assessment(LETHAL).status is QuarantineStatus.clear
     again = await api(deployment).release(request('POST', path, asked))
     assert again.status == 404
 
@@ -69,5 +74,5 @@
     path = '/v1/quarantine/release'
     came = await api(deployment).release(request('POST', path, asked))
     assert came.status == 400
-    standing = deployment.controls[1].quarantine.assessment(LETHAL).standing
-    assert standing is Standing.quarantined
+    status = deployment.controls[1].quarantine.assessment(LETHAL).status
+    assert status is QuarantineStatus.quarantined
--- a/godwitshunt/registry/tests/test_suspects.py
+++ b/godwitshunt/registry/tests/test_suspects.py
@@ -3,7 +3,12 @@
 import pytest
 
 from godwitshunt.peer import encode
-from godwitshunt.quarantine import Fingerprint, Loss, LostRequest, Standing
+from godwitshunt.quarantine import (
+    Fingerprint,
+    Loss,
+    LostRequest,
+    QuarantineStatus,
+)
 from godwitshunt.registry.tests.deployment import Deployment, address
 
 LETHAL = Fingerprint(bytes(16))
@@ -22,9 +27,9 @@
     watch.quarantine.record_loss(LostRequest(fingerprint, '', 5, loss))
 
 
-def standing(watch):
+def status(watch):
     """Return what an entry VM holds against the lethal request."""
-    return watch.quarantine.assessment(LETHAL).standing
+    return watch.quarantine.assessment(LETHAL).status
 
 
 async def spread(deployment, *watches):
@@ -49,7 +54,7 @@
         lose(watch, f'i-{number}')
     deployment.timer.advance(1)
     await spread(deployment, *watches)
-    assert {standing(one) for one in watches} == {Standing.quarantined}
+    assert {status(one) for one in watches} == {QuarantineStatus.quarantined}
 
 
 async def test_vm_that_starts_anew_hears_of_what_is_kept_back(deployment):
@@ -61,7 +66,7 @@
     await spread(deployment, watch)
     young = deployment.entry(12, 'b')
     await deployment.greet(young)
-    assert standing(young) is Standing.quarantined
+    assert status(young) is QuarantineStatus.quarantined
 
 
 async def test_control_vm_that_starts_anew_is_told_again(deployment):
@@ -79,7 +84,7 @@
         deployment.timer.advance(1)
     young = deployment.entry(12, 'a')
     await deployment.greet(young)
-    assert standing(young) is Standing.quarantined
+    assert status(young) is QuarantineStatus.quarantined
 
 
 async def test_each_side_of_a_cut_knows_what_it_saw(deployment):
@@ -94,12 +99,12 @@
     lose(south, 'j-1')
     deployment.timer.advance(1)
     await spread(deployment, north, south)
-    assert standing(north) is Standing.quarantined
-    assert standing(south) is Standing.clear
+    assert status(north) is QuarantineStatus.quarantined
+    assert status(south) is QuarantineStatus.clear
     deployment.network.heal()
     deployment.timer.advance(1)
     await spread(deployment, north, south)
-    assert standing(south) is Standing.quarantined
+    assert status(south) is QuarantineStatus.quarantined
 
 
 async def test_whole_answer_seen_by_one_vm_clears_for_all(deployment):
@@ -111,12 +116,12 @@
     lose(north, 'i-2')
     deployment.timer.advance(1)
     await spread(deployment, north, south)
-    assert standing(south) is Standing.suspected
+    assert status(south) is QuarantineStatus.suspected
     deployment.timer.advance(1)
     south.quarantine.clear(LETHAL)
     await spread(deployment, north, south)
     lose(north, 'i-3')
-    assert standing(north) is Standing.clear
+    assert status(north) is QuarantineStatus.clear
 
 
 async def test_entry_vms_hear_nothing_of_what_was_lost_once(deployment):
@@ -165,7 +170,7 @@
     for _ in range(3):
         await deployment.poll(watch, 1)
     assessment = watch.quarantine.assessment(Fingerprint(bytes(range(16))))
-    assert assessment.standing is Standing.quarantined
+    assert assessment.status is QuarantineStatus.quarantined
 
 
 async def test_control_vm_that_is_asked_first_later_is_told_all(deployment):
@@ -180,4 +185,4 @@
     await deployment.poll(watch, 1)
     await deployment.poll(watch, 2)
     assessment = deployment.controls[2].quarantine.assessment(LETHAL)
-    assert assessment.standing is Standing.quarantined
+    assert assessment.status is QuarantineStatus.quarantined
