--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -31,7 +31,7 @@
 ADDRESS = Address(host='10.0.0.1', port=80)
 
 
-def upstream(name: str, region: str) -> UpstreamSeen:
+def make_upstream(name: str, region: str) -> UpstreamSeen:
     """Return an engine that is heard of and well."""
     told = UpstreamAnnounced(name, 'llm', ADDRESS, 'a', 48, False, 0, 1)
     return UpstreamSeen(told, region, 0.0, None, silent=False)
@@ -39,8 +39,8 @@
 
 def view(loads: dict[str, Load] | None = None) -> RegistryView:
     """Return four engines here, two there, and one entry VM there."""
-    seen = [upstream(f'k-{number}', 'kochi') for number in range(4)]
-    seen += [upstream(f't-{number}', 'tvm') for number in range(2)]
+    seen = [make_upstream(f'k-{number}', 'kochi') for number in range(4)]
+    seen += [make_upstream(f't-{number}', 'tvm') for number in range(2)]
     door = EntryRecord('t-e', 's', 'tvm', 't', ADDRESS, ADDRESS, True)
     return RegistryView(
         upstreams={one.told.incarnation: one for one in seen},
@@ -147,7 +147,7 @@
     service = SimpleNamespace(name='llm', engine=True, cold_start=cold)
     asked = replace(ask(SHORT), service=service)
     chooser.upstreams.of('k-0').miss(NOW_S - missed_ago_s)
-    seen = upstream('k-0', 'kochi')
+    seen = make_upstream('k-0', 'kochi')
     assert chooser.filter.may_be_cold(seen, asked) is may_be_cold
 
 
@@ -173,7 +173,7 @@
         Neighbours('k-e', 'kochi'),
         Random(1),
     )
-    seen = upstream('k-0', 'kochi')
+    seen = make_upstream('k-0', 'kochi')
     health = chooser.upstreams.of('k-0')
     for name, until_s in known.items():
         setattr(health, name, until_s)
--- a/godwitshunt/picking/tests/test_failing_upstreams.py
+++ b/godwitshunt/picking/tests/test_failing_upstreams.py
@@ -17,7 +17,7 @@
     NOW_S,
     SHORT,
     ask,
-    upstream,
+    make_upstream,
 )
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import EntryRecord, RegistryView
@@ -44,7 +44,7 @@
 def make_view() -> RegistryView:
     """Return one upstream in each of two regions."""
     door = EntryRecord('t-e', 's', 'tvm', 't', ADDRESS, ADDRESS, True)
-    seen = (upstream(HERE, 'kochi'), upstream(THERE, 'tvm'))
+    seen = (make_upstream(HERE, 'kochi'), make_upstream(THERE, 'tvm'))
     return RegistryView(
         upstreams={one.told.incarnation: one for one in seen},
         doors={'tvm': (door,)},
