--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -53,8 +53,8 @@
             region: self.tables.controls_in_region(region) for region in regions
         }
         here = found[self.tables.place.region]
-        if self.tables.own not in here:
-            here.append(self.tables.own)
+        if self.tables.own_name not in here:
+            here.append(self.tables.own_name)
         return found
 
     def standing(self, now_s: float) -> Standing:
@@ -66,9 +66,9 @@
             return Standing()
         pickers = self.pickers()
         shares = fixed_shares(pickers)
-        heard = {self.tables.own: inf}
+        heard = {self.tables.own_name: inf}
         for control, table in self.tables.joined.tables.items():
-            if control == self.tables.own or not table.source:
+            if control == self.tables.own_name or not table.source:
                 continue
             self.pool.hear(
                 f'{control} {table.source}',
@@ -80,7 +80,7 @@
                 heard[control] = table.loads_asof_s
         known = {str(one) for one in self.tables.place.others()}
         known.update(heard)
-        own = self.tables.own
+        own = self.tables.own_name
         return Standing(
             part=usable_share(own, pickers, known, heard),
             share=shares[own],
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -99,7 +99,7 @@
                 timer.now(),
             ),
             handed=HandedLoads(
-                told_s=tables.told_s,
+                told_s=tables.region_loads_asof_s,
                 way_s=lambda other: neighbours.round_trip_s(other) / 2,
             ),
             random=Random(),
