--- a/godwitshunt/picking/learner.py
+++ b/godwitshunt/picking/learner.py
@@ -11,7 +11,7 @@
 from godwitshunt.picking.upstreams import Upstreams, of_service
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing import outliers
-from godwitshunt.routing.upstream_health import FULL_S
+from godwitshunt.routing.upstream_health import FULL_BACKOFF_S
 from godwitshunt.telemetry import log_change
 
 NO_LOAD = Load()
@@ -46,7 +46,7 @@
             case Shown.unreached:
                 health.miss(now_s)
             case Shown.full:
-                health.full_until_s = now_s + FULL_S
+                health.full_until_s = now_s + FULL_BACKOFF_S
                 if self.has_room(made.instance):
                     self.record_outcome(made, outliers.Failed(), now_s)
             case _:
--- a/godwitshunt/routing/upstream_health.py
+++ b/godwitshunt/routing/upstream_health.py
@@ -10,7 +10,7 @@
 # An upstream that refused a connection is left alone for so long.
 DOWN_S = 1.0
 # One that refused a request as full gets no other for so long.
-FULL_S = 0.15
+FULL_BACKOFF_S = 0.15
 # Weight of one more answer in the moving average of delays, and the time in
 # which an average that nothing adds to falls by half: a delay of five seconds
 # ago says little of a queue that is read in one.
