--- a/benchmarks/organisations.py
+++ b/benchmarks/organisations.py
@@ -20,7 +20,7 @@
     pack_document,
     revision_of,
 )
-from godwitshunt.ingress.in_force import InForce
+from godwitshunt.ingress.active_revision import InForce
 from godwitshunt.manifest import (
     LimitUnit,
     Manifest,
--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -10,10 +10,10 @@
 
 from godwitshunt.exchange.problems import Outcome, Problem, ProblemKind
 from godwitshunt.exchange.requests import HttpRequest
+from godwitshunt.ingress.active_revision import InForce
 from godwitshunt.ingress.authority import Authority
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.headers import keep_sendable
-from godwitshunt.ingress.in_force import InForce
 from godwitshunt.ingress.prompts import Prompt
 from godwitshunt.ingress.requests import (
     RoutedRequest,
--- a/godwitshunt/ingress/authority.py
+++ b/godwitshunt/ingress/authority.py
@@ -10,7 +10,7 @@
 from typing import Self
 
 from godwitshunt.exchange.problems import ProblemKind
-from godwitshunt.ingress.in_force import InForce
+from godwitshunt.ingress.active_revision import InForce
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.organisations import FreshnessRule
 from godwitshunt.settings import BoundSettings
--- a/godwitshunt/ingress/hops.py
+++ b/godwitshunt/ingress/hops.py
@@ -15,8 +15,8 @@
 from godwitshunt.exchange.upstream_messages import (
     OutgoingRequest,
 )
+from godwitshunt.ingress.active_revision import InForce
 from godwitshunt.ingress.headers import keep_sendable
-from godwitshunt.ingress.in_force import InForce
 from godwitshunt.ingress.parts import IngressParts
 from godwitshunt.ingress.requests import RoutedRequest, prompt_of
 from godwitshunt.registry import EntryRecord
--- a/godwitshunt/ingress/parts.py
+++ b/godwitshunt/ingress/parts.py
@@ -6,9 +6,9 @@
 from godwitshunt.exchange.upstream_pool import (
     UpstreamPool,
 )
+from godwitshunt.ingress.active_revision import InForce
 from godwitshunt.ingress.authority import Authority
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.in_force import InForce
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.organisations import Standing
 from godwitshunt.picking.choices import ChoiceRequest
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -19,11 +19,11 @@
     render_problem,
 )
 from godwitshunt.exchange.requests import AnswerWriter, HttpRequest
+from godwitshunt.ingress.active_revision import InForce
 from godwitshunt.ingress.admission import Admission
 from godwitshunt.ingress.assembly import make_parts
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.hops import read_hop
-from godwitshunt.ingress.in_force import InForce
 from godwitshunt.ingress.life import RequestLife
 from godwitshunt.ingress.parts import IngressParts
 from godwitshunt.ingress.requests import RoutedRequest
--- a/godwitshunt/ingress/tests/test_authority.py
+++ b/godwitshunt/ingress/tests/test_authority.py
@@ -9,10 +9,10 @@
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.exchange.problems import Outcome, ProblemKind
 from godwitshunt.exchange.requests import HttpRequest
+from godwitshunt.ingress.active_revision import InForce
 from godwitshunt.ingress.admission import Admission
 from godwitshunt.ingress.authority import Authority
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.in_force import InForce
 from godwitshunt.manifest import Organisation
 from godwitshunt.organisations import FreshnessRule, key_digest
 from godwitshunt.organisations.tests.test_keys import (
