--- a/godwitshunt/picking/tests/test_limits_between_pickers.py
+++ b/godwitshunt/picking/tests/test_limits_between_pickers.py
@@ -7,7 +7,7 @@
 from godwitshunt.organisations import key_digest
 from godwitshunt.picking.choices import Limited
 from godwitshunt.picking.tests.region import PickedRegion, engine, revision
-from godwitshunt.registry.control_tables import PERIOD_S
+from godwitshunt.registry.control_tables import PEER_POLL_PERIOD_S
 from godwitshunt.registry.tests.deployment import address
 
 PER_S, BURST = 40.0, 40.0
@@ -49,8 +49,8 @@
 
 async def wait(region, seconds: float) -> None:
     """Let time pass while control VMs tell one another of their counts."""
-    for _ in range(round(seconds / PERIOD_S)):
-        region.timer.advance(PERIOD_S)
+    for _ in range(round(seconds / PEER_POLL_PERIOD_S)):
+        region.timer.advance(PEER_POLL_PERIOD_S)
         await region.exchange()
         for entry in region.entries:
             await region.poll(entry.watch)
@@ -68,9 +68,9 @@
 async def played(region, entries, seconds: float) -> int:
     """Ask for all that can be had for a while; return what was given."""
     given = []
-    for _ in range(round(seconds / PERIOD_S)):
+    for _ in range(round(seconds / PEER_POLL_PERIOD_S)):
         given += [await admitted(entry, 20) for entry in entries]
-        await wait(region, PERIOD_S)
+        await wait(region, PEER_POLL_PERIOD_S)
     return sum(given)
 
 
@@ -82,9 +82,9 @@
     near, far = region.entries
     first = await admitted(near, 100)
     assert BURST / 3 <= first <= BURST
-    await wait(region, PERIOD_S)
+    await wait(region, PEER_POLL_PERIOD_S)
     second = await admitted(far, 100)
-    assert first + second <= BURST + PER_S * PERIOD_S * 2
+    assert first + second <= BURST + PER_S * PEER_POLL_PERIOD_S * 2
 
 
 async def test_one_region_alone_gets_nearly_the_whole_limit(region):
@@ -109,4 +109,4 @@
     region.restart(1)
     await wait(region, 1.0)
     second = await admitted(near, 100)
-    assert first + second <= BURST + PER_S * (1.0 + PERIOD_S)
+    assert first + second <= BURST + PER_S * (1.0 + PEER_POLL_PERIOD_S)
--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -32,7 +32,7 @@
 
 # The requests of other regions are as old as this and the way; a picker sends
 # long prompts there by them.
-PERIOD_S = 0.2
+PEER_POLL_PERIOD_S = 0.2
 TIMEOUT_S = 0.8
 # A control VM whose table has not come from itself for so long is asked for
 # at the others, too: three periods and the way between two regions.
@@ -87,7 +87,7 @@
 
     def start(self) -> None:
         """Begin to ask."""
-        self.subscription = self.timer.every(PERIOD_S, self.ask_all)
+        self.subscription = self.timer.every(PEER_POLL_PERIOD_S, self.ask_all)
         self.ask_all()
 
     async def close(self) -> None:
@@ -97,7 +97,7 @@
         await self.background.close()
 
     @property
-    def own(self) -> str:
+    def own_name(self) -> str:
         """Name of this control VM among the tables."""
         return str(self.place.address)
 
@@ -118,7 +118,7 @@
             newer=[],
             prefixes_version=contact.prefixes_version,
             wants_loads=True,
-            scope=Scope.all if self.misses_any(sent_s) else Scope.own,
+            scope=Scope.all if self.misses_any(sent_s) else Scope.own_name,
             from_control=True,
             suspects=[],
             suspects_version=contact.suspects_version,
@@ -146,7 +146,7 @@
         return any(
             now_s - table.answered_s > RELAY_POLL_AFTER_S
             for control, table in self.joined.tables.items()
-            if control != self.own
+            if control != self.own_name
         )
 
     def note_lost(
@@ -193,7 +193,7 @@
         whose = self.joined.of_source(news.source)
         if news.control is not None:
             whose = str(address_of(news.control))
-        if whose != self.own:
+        if whose != self.own_name:
             self.joined.take(news, sent_s, now_s)
 
     def take_newer(self, told: Iterable[ttypes.TableNews]) -> None:
@@ -209,7 +209,7 @@
 
     def held_own(self) -> ttypes.TableHeld | None:
         """Return which version of the own table stands beside the others."""
-        table = self.joined.tables.get(self.own)
+        table = self.joined.tables.get(self.own_name)
         if table is None:
             return None
         return ttypes.TableHeld(
@@ -240,7 +240,7 @@
             True where requests at upstreams are told as well.
         """
         for control, table in self.joined.tables.items():
-            if control != self.own and table.source:
+            if control != self.own_name and table.source:
                 yield relayed_news(
                     table,
                     held.get(table.source),
@@ -253,7 +253,7 @@
         telling = {
             control: table
             for control, table in self.joined.tables.items()
-            if control != self.own
+            if control != self.own_name
             and now_s - table.loads_asof_s <= self.kept_s(control)
         }
         of = tuple(
@@ -270,7 +270,7 @@
         is_here = self.region_of(control) == self.place.region
         return LOCAL_LOADS_TTL_S if is_here else LOADS_KEPT_S
 
-    def told_s(self, region: str) -> float:
+    def region_loads_asof_s(self, region: str) -> float:
         """Return what time a region's requests were told as of."""
         return max(
             (
@@ -308,9 +308,9 @@
     def view(self) -> RegistryView:
         """Return the joined view; the own table is always as of now."""
         now_s = self.timer.now()
-        own = self.joined.tables.get(self.own)
-        if own is not None:
-            own.answered_s = now_s
+        own_name = self.joined.tables.get(self.own_name)
+        if own_name is not None:
+            own_name.answered_s = now_s
         return self.joined.view(now_s)
 
     def leave(self, incarnation: str) -> None:
