--- a/godwitshunt/picking/learner.py
+++ b/godwitshunt/picking/learner.py
@@ -44,7 +44,7 @@
             case Shown.replaced:
                 self.leave(made.instance)
             case Shown.unreached:
-                health.miss(now_s)
+                health.record_connect_failure(now_s)
             case Shown.full:
                 health.full_until_s = now_s + FULL_BACKOFF_S
                 if self.has_room(made.instance):
--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -146,7 +146,7 @@
     )
     service = SimpleNamespace(name='llm', engine=True, cold_start=cold)
     asked = replace(ask(SHORT), service=service)
-    chooser.upstreams.of('k-0').miss(NOW_S - missed_ago_s)
+    chooser.upstreams.of('k-0').record_connect_failure(NOW_S - missed_ago_s)
     seen = make_upstream('k-0', 'kochi')
     assert chooser.filter.may_be_cold(seen, asked) is may_be_cold
 
--- a/godwitshunt/routing/upstream_health.py
+++ b/godwitshunt/routing/upstream_health.py
@@ -89,7 +89,7 @@
         if self.waiting_since.pop(number, None) is not None:
             self.pending_tokens -= tokens
 
-    def miss(self, now_s: float) -> None:
+    def record_connect_failure(self, now_s: float) -> None:
         """Note that a connection to it failed."""
         self.unreached_s = now_s
         self.down_until_s = now_s + DOWN_S
