--- a/godwitshunt/ingress/account.py
+++ b/godwitshunt/ingress/account.py
@@ -70,8 +70,8 @@
         """Note a choice with its candidates, and how old its news was."""
         self.control_age_s = control_age_s
         match choice:
-            case SendHere(seen=seen):
-                place = seen.told.incarnation
+            case SendHere(upstream=upstream):
+                place = upstream.told.incarnation
             case HandOver(entry=entry):
                 place = f'{entry.region}/{entry.name}'
             case NoPlace(overloaded=overloaded):
--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -49,7 +49,7 @@
     @property
     def instance(self) -> str:
         """The upstream."""
-        return self.choice.seen.told.incarnation
+        return self.choice.upstream.told.incarnation
 
     @property
     def shown(self) -> Shown | None:
@@ -110,7 +110,7 @@
         Repeats of a request have one fingerprint, whatever their ids. One
         that leaves ends as it said, whatever it runs.
         """
-        told = made.choice.seen.told
+        told = made.choice.upstream.told
         if made.attempt.closed and not self.leaves(told):
             self.parts.witness.record_loss(
                 self.request,
@@ -193,7 +193,7 @@
     An upstream's or an entry VM's next start is another one.
     """
     match choice:
-        case SendHere(seen=seen):
-            return seen.told.incarnation
+        case SendHere(upstream=upstream):
+            return upstream.told.incarnation
         case HandOver(entry=entry):
             return f'{entry.region}/{entry.name}~{entry.session}'
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -236,7 +236,7 @@
                 return NoPlace(overloaded=True, retry_after_s=RETRY_AFTER_S)
             if isinstance(choice, HandOver) or self.may_send(choice):
                 return choice
-            self.sender.excluded.add(choice.seen.told.incarnation)
+            self.sender.excluded.add(choice.upstream.told.incarnation)
 
     async def ask_picker(self) -> Choice | None:
         """Return the picker's choice; None where this VM must choose.
@@ -289,22 +289,24 @@
     def is_sound(self, choice: Choice) -> bool:
         """Tell whether a picker's choice fits all that this VM knows."""
         match choice:
-            case SendHere(seen=seen):
-                return self.is_usable(seen)
+            case SendHere(upstream=upstream):
+                return self.is_usable(upstream)
             case HandOver(entry=entry):
                 homes = self.request.route.homes
                 return not homes or entry.region in homes
         return True
 
-    def is_usable(self, seen: UpstreamSeen) -> bool:
+    def is_usable(self, upstream: UpstreamSeen) -> bool:
         """Tell whether an upstream may get the request, by what is known here.
 
         What this VM has heard from any control VM holds: that an upstream
         leaves, that its start is over, that its failure domain is evacuated.
         """
-        told = seen.told
+        told = upstream.told
         homes = self.request.route.homes
-        known = self.parts.watch.view().upstreams.get(told.incarnation, seen)
+        known = self.parts.watch.view().upstreams.get(
+            told.incarnation, upstream
+        )
         leaves = known.told.draining or self.parts.watch.is_over(told)
         is_home = not homes or self.parts.settings.region in homes
         evacuated = self.parts.in_force().revision.evacuated
@@ -314,8 +316,8 @@
     def exclude(self, choice: SendHere | HandOver) -> None:
         """Ask for another place than this one."""
         match choice:
-            case SendHere(seen=seen):
-                self.sender.excluded.add(seen.told.incarnation)
+            case SendHere(upstream=upstream):
+                self.sender.excluded.add(upstream.told.incarnation)
             case HandOver(entry=entry):
                 self.sender.excluded.add(entry.region)
 
@@ -386,7 +388,7 @@
         if choice.chosen_by_picker or not choice.is_cold or cold is None:
             return True
         return self.parts.budgets.cold.spend(
-            choice.seen.told.incarnation,
+            choice.upstream.told.incarnation,
             cold.requests_per_s,
             self.parts.cold_share(),
             self.parts.timer.now(),
--- a/godwitshunt/ingress/parts.py
+++ b/godwitshunt/ingress/parts.py
@@ -109,11 +109,13 @@
             return 0.0
         return 1 / self.neighbours.count_in_region()
 
-    def has_cold_capacity(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
+    def has_cold_capacity(
+        self, upstream: UpstreamSeen, ask: ChoiceRequest
+    ) -> bool:
         """Tell whether this VM may send a cold upstream one more request."""
         cold = ask.service.cold_start
         return cold is None or self.budgets.cold.has_room(
-            seen.told.incarnation,
+            upstream.told.incarnation,
             cold.requests_per_s,
             self.cold_share(),
             ask.now_s,
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -121,7 +121,7 @@
     async def send_here(self, choice: SendHere) -> AttemptOutcome:
         """Send the request to an upstream of this region."""
         parts = self.parts
-        told = choice.seen.told
+        told = choice.upstream.told
         health = parts.upstreams.of(told.incarnation)
         tokens = choice.unread_tokens
         signs = SignsOfLife(
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -109,7 +109,7 @@
     told = []
     fields = {'waiting_tokens': 0.0, 'is_cold': False, **choice}
     chosen = SimpleNamespace(
-        seen=SimpleNamespace(told=SimpleNamespace(incarnation='i-1')),
+        upstream=SimpleNamespace(told=SimpleNamespace(incarnation='i-1')),
         predicted_s=0.1,
         unread_tokens=8000,
         is_kept=False,
--- a/godwitshunt/picking/choices.py
+++ b/godwitshunt/picking/choices.py
@@ -63,7 +63,7 @@
         True where the region's picker gave the place, and its budgets with it.
     """
 
-    seen: UpstreamSeen
+    upstream: UpstreamSeen
     predicted_s: float
     is_cold: bool
     ranked: tuple[Ranked, ...] = ()
--- a/godwitshunt/picking/choosing.py
+++ b/godwitshunt/picking/choosing.py
@@ -119,12 +119,12 @@
     ) -> Choice:
         """Return the way to a chosen upstream."""
         candidate = chosen.candidate
-        seen = view.upstreams[candidate.instance]
+        upstream = view.upstreams[candidate.instance]
         if candidate.region == self.region:
             return SendHere(
-                seen,
+                upstream,
                 chosen.predicted_s,
-                self.filter.may_be_cold(seen, ask),
+                self.filter.may_be_cold(upstream, ask),
                 ranked,
                 chosen.unread_tokens,
                 candidate.cached,
@@ -156,8 +156,8 @@
             avoided.get(f'{region} {ask.service.name}', 0.0)
             for region in view.doors
         ]
-        for seen in of_service(view, ask.service.name):
-            health = self.upstreams.of(seen.told.incarnation)
+        for upstream in of_service(view, ask.service.name):
+            health = self.upstreams.of(upstream.told.incarnation)
             ends.extend((health.down_until_s, health.full_until_s))
         opens = [end_s - ask.now_s for end_s in ends if end_s > ask.now_s]
         return max(LEAST_RETRY_S, min(opens, default=NO_UPSTREAM_RETRY_S))
@@ -187,13 +187,13 @@
     ) -> Iterator[Candidate]:
         """Give the upstreams that would take a request, without some."""
         reachable = self.reachable(ask, view)
-        for seen in of_service(view, ask.service.name):
-            if seen.region not in reachable:
+        for upstream in of_service(view, ask.service.name):
+            if upstream.region not in reachable:
                 continue
-            if seen.told.incarnation in exclusions:
+            if upstream.told.incarnation in exclusions:
                 continue
-            if self.filter.refusal(seen, ask, revision) is None:
-                candidate = self.candidate(seen, ask, view)
+            if self.filter.refusal(upstream, ask, revision) is None:
+                candidate = self.candidate(upstream, ask, view)
                 if not is_full(candidate):
                     yield candidate
 
@@ -207,19 +207,19 @@
         reachable = self.reachable(ask, view)
         ejected = self.upstreams.ejected(ask.service.name, ask.now_s)
         told = []
-        for seen in of_service(view, ask.service.name):
-            instance = seen.told.incarnation
-            why = self.filter.refusal(seen, ask, revision)
-            if seen.region not in reachable:
+        for upstream in of_service(view, ask.service.name):
+            instance = upstream.told.incarnation
+            why = self.filter.refusal(upstream, ask, revision)
+            if upstream.region not in reachable:
                 why = 'out of reach'
             elif instance in ask.excluded:
                 why = 'failed this request'
             elif instance in ejected:
                 why = 'fails'
             elif why is None:
-                one = self.candidate(seen, ask, view)
+                one = self.candidate(upstream, ask, view)
                 why = f'full: {one.in_flight} of {one.slots}'
-            told.append(f'{instance}@{seen.region} {why}')
+            told.append(f'{instance}@{upstream.region} {why}')
         return tuple(told)
 
     def reachable(
@@ -258,29 +258,29 @@
 
     def candidate(
         self,
-        seen: UpstreamSeen,
+        upstream: UpstreamSeen,
         ask: ChoiceRequest,
         view: RegistryView,
     ) -> Candidate:
         """Return an upstream as it stands now."""
-        told = seen.told
+        told = upstream.told
         health = self.upstreams.of(told.incarnation)
-        here = seen.region == self.region
+        here = upstream.region == self.region
         away_s = 0.0
         if not here:
-            away_s = self.away_s + self.neighbours.round_trip_s(seen.region)
+            away_s = self.away_s + self.neighbours.round_trip_s(upstream.region)
         load = view.loads.get(told.incarnation, Load()) + health.load
         return Candidate(
             instance=told.incarnation,
-            region=seen.region,
+            region=upstream.region,
             slots=told.slots,
             in_flight=load.in_flight,
             pending_tokens=load.pending_tokens,
             delay_s=health.expected_delay_s(ask.now_s),
             away_s=away_s,
             cached=told.incarnation in ask.holders,
-            affinity=ask.affinity(seen.region),
-            penalty_s=penalty_s(seen, health, ask.now_s),
+            affinity=ask.affinity(upstream.region),
+            penalty_s=penalty_s(upstream, health, ask.now_s),
         )
 
     def jitter(self, wait_s: float) -> float:
@@ -305,15 +305,15 @@
 
 
 def penalty_s(
-    seen: UpstreamSeen,
+    upstream: UpstreamSeen,
     health: UpstreamHealth,
     now_s: float,
 ) -> float:
     """Return by how many seconds an upstream is worse than its load tells."""
     worse_s = 0.0
-    if seen.cold_until_s > now_s:
+    if upstream.cold_until_s > now_s:
         worse_s += COLD_PENALTY_S
-    if seen.silent and now_s - health.heard_s > MUTE_AFTER_S:
+    if upstream.silent and now_s - health.heard_s > MUTE_AFTER_S:
         worse_s += SILENT_PENALTY_S
     if health.mute_s(now_s) > MUTE_AFTER_S:
         worse_s += MUTE_PENALTY_S
--- a/godwitshunt/picking/filters.py
+++ b/godwitshunt/picking/filters.py
@@ -17,7 +17,7 @@
 REQUESTS_A_SLOT = 2.0
 
 
-def always(seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
+def always(upstream: UpstreamSeen, ask: ChoiceRequest) -> bool:
     """Let a cold upstream get any request."""
     return True
 
@@ -40,24 +40,24 @@
     upstreams: Upstreams
     has_cold_capacity: Callable[[UpstreamSeen, ChoiceRequest], bool] = always
 
-    def may_be_cold(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
+    def may_be_cold(self, upstream: UpstreamSeen, ask: ChoiceRequest) -> bool:
         """Tell whether an upstream must get no more than cold ones bear.
 
         One that could not be reached may have crashed and started again under
         its name, cut off from every control VM: then nobody hears that it is
         cold, and the load that its VMs go on to send would crash it.
         """
-        if seen.cold_until_s > ask.now_s:
+        if upstream.cold_until_s > ask.now_s:
             return True
         cold = ask.service.cold_start
         if cold is None:
             return False
-        health = self.upstreams.of(seen.told.incarnation)
+        health = self.upstreams.of(upstream.told.incarnation)
         return ask.now_s - health.unreached_s < cold.duration_s
 
     def refusal(
         self,
-        seen: UpstreamSeen,
+        upstream: UpstreamSeen,
         ask: ChoiceRequest,
         revision: Revision,
     ) -> str | None:
@@ -67,19 +67,19 @@
         one elsewhere, it would draw what is then refused there.
         """
         now_s = ask.now_s
-        if seen.told.failure_domain in revision.evacuated:
+        if upstream.told.failure_domain in revision.evacuated:
             return 'evacuated'
-        if seen.told.draining or ends_soon(seen, now_s):
+        if upstream.told.draining or ends_soon(upstream, now_s):
             return 'leaves'
-        if seen.region != self.region:
-            return 'cold' if seen.cold_until_s > now_s else None
-        health = self.upstreams.of(seen.told.incarnation)
+        if upstream.region != self.region:
+            return 'cold' if upstream.cold_until_s > now_s else None
+        health = self.upstreams.of(upstream.told.incarnation)
         if now_s < health.down_until_s:
             return 'unreached'
         if now_s < health.full_until_s:
             return 'turned away'
-        if self.may_be_cold(seen, ask) and not self.has_cold_capacity(
-            seen, ask
+        if self.may_be_cold(upstream, ask) and not self.has_cold_capacity(
+            upstream, ask
         ):
             return 'cold'
         return None
@@ -90,6 +90,9 @@
     return candidate.in_flight >= REQUESTS_A_SLOT * candidate.slots
 
 
-def ends_soon(seen: UpstreamSeen, now_s: float) -> bool:
+def ends_soon(upstream: UpstreamSeen, now_s: float) -> bool:
     """Tell whether an upstream will be gone before an answer is whole."""
-    return seen.ends_at_s is not None and seen.ends_at_s - now_s < LEAST_LIFE_S
+    return (
+        upstream.ends_at_s is not None
+        and upstream.ends_at_s - now_s < LEAST_LIFE_S
+    )
--- a/godwitshunt/picking/learner.py
+++ b/godwitshunt/picking/learner.py
@@ -80,10 +80,10 @@
         A full one that turns requests away is sound; counted as failing, all
         upstreams of a busy region were left out by turns.
         """
-        seen = self.view().upstreams.get(instance)
-        if seen is None:
+        upstream = self.view().upstreams.get(instance)
+        if upstream is None:
             return False
-        return self.in_flight(instance) < seen.told.slots
+        return self.in_flight(instance) < upstream.told.slots
 
     def in_flight(self, instance: str) -> int:
         """Return the requests of all VMs at an upstream."""
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -262,11 +262,13 @@
             entry=question.entry,
         )
 
-    def has_cold_capacity(self, seen: UpstreamSeen, ask: ChoiceRequest) -> bool:
+    def has_cold_capacity(
+        self, upstream: UpstreamSeen, ask: ChoiceRequest
+    ) -> bool:
         """Tell whether a cold upstream may get one more request."""
         cold = ask.service.cold_start
         return cold is None or self.cold.has_room(
-            seen.told.incarnation,
+            upstream.told.incarnation,
             cold.requests_per_s,
             self.cold_share,
             ask.now_s,
@@ -277,7 +279,7 @@
         cold = ask.service.cold_start
         if choice.is_cold and cold is not None:
             self.cold.spend(
-                choice.seen.told.incarnation,
+                choice.upstream.told.incarnation,
                 cold.requests_per_s,
                 self.cold_share,
                 ask.now_s,
@@ -292,8 +294,8 @@
     ) -> Given:
         """Count what was given."""
         match choice:
-            case SendHere(seen=seen, unread_tokens=tokens):
-                instance = seen.told.incarnation
+            case SendHere(upstream=upstream, unread_tokens=tokens):
+                instance = upstream.told.incarnation
                 self.note_prompt(question.demand, instance, now_s)
                 number = self.ledger.give(
                     question.entry,
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -281,8 +281,8 @@
     match given:
         case Unable(reason):
             return f'unable: {reason}'
-        case Given(choice=SendHere(seen=seen)):
-            return seen.told.incarnation
+        case Given(choice=SendHere(upstream=upstream)):
+            return upstream.told.incarnation
         case Given(choice=HandOver(entry=entry)):
             return f'{entry.region}/{entry.name}'
         case Given(choice=NoPlace(overloaded=True)):
--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -39,11 +39,11 @@
 
 def view(loads: dict[str, Load] | None = None) -> RegistryView:
     """Return four engines here, two there, and one entry VM there."""
-    seen = [make_upstream(f'k-{number}', 'kochi') for number in range(4)]
-    seen += [make_upstream(f't-{number}', 'tvm') for number in range(2)]
+    upstream = [make_upstream(f'k-{number}', 'kochi') for number in range(4)]
+    upstream += [make_upstream(f't-{number}', 'tvm') for number in range(2)]
     door = EntryRecord('t-e', 's', 'tvm', 't', ADDRESS, ADDRESS, True)
     return RegistryView(
-        upstreams={one.told.incarnation: one for one in seen},
+        upstreams={one.told.incarnation: one for one in upstream},
         entries={door.name: door},
         loads=loads or {},
         doors={'tvm': (door,)},
@@ -75,7 +75,7 @@
     asked = ask(LONG, holders=frozenset((holder,)))
     chosen = choose(asked, view())
     assert isinstance(chosen, SendHere)
-    assert chosen.seen.told.incarnation == holder
+    assert chosen.upstream.told.incarnation == holder
     assert chosen.is_kept
 
 
@@ -147,8 +147,8 @@
     service = SimpleNamespace(name='llm', engine=True, cold_start=cold)
     asked = replace(ask(SHORT), service=service)
     chooser.upstreams.of('k-0').record_connect_failure(NOW_S - missed_ago_s)
-    seen = make_upstream('k-0', 'kochi')
-    assert chooser.filter.may_be_cold(seen, asked) is may_be_cold
+    upstream = make_upstream('k-0', 'kochi')
+    assert chooser.filter.may_be_cold(upstream, asked) is may_be_cold
 
 
 @pytest.mark.parametrize(
@@ -173,13 +173,13 @@
         Neighbours('k-e', 'kochi'),
         Random(1),
     )
-    seen = make_upstream('k-0', 'kochi')
+    upstream = make_upstream('k-0', 'kochi')
     health = chooser.upstreams.of('k-0')
     for name, until_s in known.items():
         setattr(health, name, until_s)
     found = chooser.opens_in_s(
         ask(SHORT),
-        RegistryView(upstreams={'k-0': seen}),
+        RegistryView(upstreams={'k-0': upstream}),
     )
     assert found == pytest.approx(opens_in_s)
 
--- a/godwitshunt/picking/tests/test_failing_upstreams.py
+++ b/godwitshunt/picking/tests/test_failing_upstreams.py
@@ -44,9 +44,9 @@
 def make_view() -> RegistryView:
     """Return one upstream in each of two regions."""
     door = EntryRecord('t-e', 's', 'tvm', 't', ADDRESS, ADDRESS, True)
-    seen = (make_upstream(HERE, 'kochi'), make_upstream(THERE, 'tvm'))
+    upstream = (make_upstream(HERE, 'kochi'), make_upstream(THERE, 'tvm'))
     return RegistryView(
-        upstreams={one.told.incarnation: one for one in seen},
+        upstreams={one.told.incarnation: one for one in upstream},
         doors={'tvm': (door,)},
     )
 
@@ -70,7 +70,7 @@
     """
     chosen = choose(make_chooser(), excluded=frozenset(('tvm',)))
     assert isinstance(chosen, SendHere)
-    assert chosen.seen.told.incarnation == HERE
+    assert chosen.upstream.told.incarnation == HERE
 
 
 def test_a_request_handed_over_goes_back_rather_than_to_a_failing_one():
--- a/godwitshunt/picking/upstreams.py
+++ b/godwitshunt/picking/upstreams.py
@@ -109,6 +109,6 @@
 
 def of_service(view: RegistryView, service: str) -> Iterator[UpstreamSeen]:
     """Give the incarnations that serve a service."""
-    for seen in view.upstreams.values():
-        if seen.told.service == service:
-            yield seen
+    for upstream in view.upstreams.values():
+        if upstream.told.service == service:
+            yield upstream
--- a/godwitshunt/picking/wire.py
+++ b/godwitshunt/picking/wire.py
@@ -102,7 +102,7 @@
         case SendHere() as choice:
             made.kind = GivenKind.upstream
             made.predicted_ms = choice.predicted_s * MILLISECONDS
-            made.upstream = seen_to_wire(choice.seen, now_s)
+            made.upstream = seen_to_wire(choice.upstream, now_s)
             made.is_cold = choice.is_cold
             made.unread_tokens = choice.unread_tokens
             made.is_kept = choice.is_kept
@@ -183,12 +183,14 @@
             return NoPlace(overloaded, wait_s, chosen_by_picker=True)
 
 
-def seen_to_wire(seen: UpstreamSeen, now_s: float) -> ttypes.UpstreamInfo:
+def seen_to_wire(upstream: UpstreamSeen, now_s: float) -> ttypes.UpstreamInfo:
     """Return an upstream as a picker believes it to be as a struct."""
-    ends_in_s = None if seen.ends_at_s is None else seen.ends_at_s - now_s
+    ends_in_s = (
+        None if upstream.ends_at_s is None else upstream.ends_at_s - now_s
+    )
     return announcement_to_wire(
-        seen.told,
-        cold_s=seen.cold_until_s - now_s,
+        upstream.told,
+        cold_s=upstream.cold_until_s - now_s,
         ends_in_s=ends_in_s,
-        silent=seen.silent,
+        silent=upstream.silent,
     )
