--- a/benchmarks/organisations.py
+++ b/benchmarks/organisations.py
@@ -20,7 +20,7 @@
     pack_document,
     revision_of,
 )
-from godwitshunt.ingress.active_revision import InForce
+from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.manifest import (
     LimitUnit,
     Manifest,
@@ -97,9 +97,9 @@
     before = as_vms_get_it(make_manifest(1, count, KEYS_EACH))
     after = as_vms_get_it(make_manifest(2, count, KEYS_EACH - 1))
     began_s = time.perf_counter()
-    in_force = InForce.from_revision(revision_of(2, after))
+    active_revision = ActiveRevision.from_revision(revision_of(2, after))
     took_s = time.perf_counter() - began_s
-    keys = in_force.table.keys
+    keys = active_revision.table.keys
     asked = [
         make_key(each % count, each % KEYS_EACH) for each in range(LOOKUPS)
     ]
--- a/godwitshunt/ingress/active_revision.py
+++ b/godwitshunt/ingress/active_revision.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class InForce:
+class ActiveRevision:
     """A revision with its routes, services and keys by name.
 
     Parameters
--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -10,7 +10,7 @@
 
 from godwitshunt.exchange.problems import Outcome, Problem, ProblemKind
 from godwitshunt.exchange.requests import HttpRequest
-from godwitshunt.ingress.active_revision import InForce
+from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.authority import Authority
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.headers import keep_sendable
@@ -58,7 +58,7 @@
     ----------
     names : HeaderNames
         Headers that callers speak.
-    in_force : callable
+    active_revision : callable
         Returns the revision in force; None before the first.
     authority : Authority
         Whether what is known of keys still holds.
@@ -69,7 +69,7 @@
     """
 
     names: HeaderNames
-    in_force: Callable[[], InForce | None]
+    active_revision: Callable[[], ActiveRevision | None]
     authority: Authority
     random: Random
     is_young: Callable[[], bool] = never
@@ -131,16 +131,16 @@
         now_s: float,
     ) -> Result[RoutedRequest, Problem]:
         """Find a request's route, organisation and service."""
-        in_force = self.in_force()
-        if in_force is None:
+        active_revision = self.active_revision()
+        if active_revision is None:
             told = 'no revision is in force here yet'
             return refused(ProblemKind.not_ready, told)
         host = host_name(http.header(b'host'))
-        route = in_force.table.match(host, http.path)
+        route = active_revision.table.match(host, http.path)
         if route is None:
             told = 'no route has this host and path'
             return refused(ProblemKind.not_found, told)
-        found = self.holder(http, route, in_force)
+        found = self.holder(http, route, active_revision)
         if isinstance(found, Err):
             return found
         return self.route(http, route, found.ok_value, now_s)
@@ -149,7 +149,7 @@
         self,
         http: HttpRequest,
         route: Route,
-        in_force: InForce,
+        active_revision: ActiveRevision,
     ) -> Result[Holder, Problem]:
         """Return whose a request is."""
         if not route.keyed:
@@ -163,7 +163,7 @@
         if len(keys) != 1:
             told = f'{len(keys)} keys were given and not one'
             return refused(ProblemKind.unauthorized, told)
-        organisation = in_force.table.keys.find(keys[0])
+        organisation = active_revision.table.keys.find(keys[0])
         if organisation is None:
             told = 'the key is not known'
             return refused(ProblemKind.unauthorized, told)
@@ -177,13 +177,13 @@
         now_s: float,
     ) -> Result[RoutedRequest, Problem]:
         """Return a request with all that is known of it."""
-        in_force = self.in_force()
-        bound = in_force.table.bind(route, holder.organisation)
+        active_revision = self.active_revision()
+        bound = active_revision.table.bind(route, holder.organisation)
         if bound is None:
             told = 'its route and its organisation have no home in common'
             return refused(ProblemKind.no_upstream, told)
         name = pick_service(bound, self.random.random())
-        service = in_force.services[name]
+        service = active_revision.services[name]
         prompt = prompt_of(http, self.names)
         if is_too_long(prompt, service):
             told = 'its prompt is longer than the memory of any upstream'
@@ -200,10 +200,10 @@
                 arrived_s=now_s,
                 ends_s=now_s + waits_s,
                 resume_after=resume_after(http, self.names),
-                low_urgency_regions=in_force.low_urgency_regions(
+                low_urgency_regions=active_revision.low_urgency_regions(
                     bound, service
                 ),
-                level=in_force.table.level(bound, holder.organisation),
+                level=active_revision.table.level(bound, holder.organisation),
                 organisation=holder.organisation,
                 key_sha256=holder.key_sha256,
             ),
--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -41,7 +41,7 @@
         settings=settings,
         names=names,
         cluster_key=cluster_key,
-        in_force=lambda: None,
+        active_revision=lambda: None,
         authority=Authority.from_config(settings.bounds, timer.now),
         watch=watch,
         upstreams=upstreams,
--- a/godwitshunt/ingress/authority.py
+++ b/godwitshunt/ingress/authority.py
@@ -10,7 +10,7 @@
 from typing import Self
 
 from godwitshunt.exchange.problems import ProblemKind
-from godwitshunt.ingress.active_revision import InForce
+from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.organisations import FreshnessRule
 from godwitshunt.settings import BoundSettings
@@ -76,7 +76,7 @@
     def refusal(
         self,
         request: RoutedRequest,
-        in_force: InForce,
+        active_revision: ActiveRevision,
     ) -> ProblemKind | None:
         """Return why a request may not be sent now; None where it may.
 
@@ -88,7 +88,7 @@
             return None
         if not self.is_proven:
             return ProblemKind.unproven
-        keys = in_force.table.keys
+        keys = active_revision.table.keys
         if request.key_sha256:
             holds = keys.still_holds(organisation, request.key_sha256)
         else:
--- a/godwitshunt/ingress/hops.py
+++ b/godwitshunt/ingress/hops.py
@@ -15,7 +15,7 @@
 from godwitshunt.exchange.upstream_messages import (
     OutgoingRequest,
 )
-from godwitshunt.ingress.active_revision import InForce
+from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.headers import keep_sendable
 from godwitshunt.ingress.parts import IngressParts
 from godwitshunt.ingress.requests import RoutedRequest, prompt_of
@@ -81,7 +81,7 @@
 
 def read_hop(
     http: HttpRequest,
-    in_force: InForce,
+    active_revision: ActiveRevision,
     parts: IngressParts,
 ) -> Result[RoutedRequest, ForwardRefused]:
     """Read a request that another VM handed over, its note checked.
@@ -98,9 +98,9 @@
     if isinstance(checked, Err):
         return checked
     note = checked.ok_value
-    service = in_force.services.get(note.service_name)
-    organisation = in_force.table.keys.by_name.get(note.organisation)
-    route = in_force.route_of(note, organisation)
+    service = active_revision.services.get(note.service_name)
+    organisation = active_revision.table.keys.by_name.get(note.organisation)
+    route = active_revision.route_of(note, organisation)
     if route is None or service is None:
         return Err(ForwardRefused('revision'))
     now_s = parts.timer.now()
@@ -118,8 +118,10 @@
             resume_after=note.resume_after if resumes else None,
             repeat=bool(note.repeat),
             handed_over=True,
-            low_urgency_regions=in_force.low_urgency_regions(route, service),
-            level=in_force.table.level(route, organisation),
+            low_urgency_regions=active_revision.low_urgency_regions(
+                route, service
+            ),
+            level=active_revision.table.level(route, organisation),
             organisation=organisation,
         ),
     )
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -309,7 +309,7 @@
         )
         leaves = known.told.draining or self.parts.watch.is_over(told)
         is_home = not homes or self.parts.settings.region in homes
-        evacuated = self.parts.in_force().revision.evacuated
+        evacuated = self.parts.active_revision().revision.evacuated
         is_evacuated = told.failure_domain in evacuated
         return is_home and not leaves and not is_evacuated
 
@@ -368,7 +368,7 @@
             entry=self.parts.settings.name,
         )
         view = self.parts.watch.view()
-        revision = self.parts.in_force().revision
+        revision = self.parts.active_revision().revision
         return self.parts.chooser.choose(ask, view, revision)
 
     def may_repeat(self) -> bool:
@@ -411,8 +411,8 @@
 
     def authority_refusal(self) -> Step | None:
         """Return the last step of a request whose key holds no more."""
-        in_force = self.parts.in_force()
-        kind = self.parts.authority.refusal(self.request, in_force)
+        active_revision = self.parts.active_revision()
+        kind = self.parts.authority.refusal(self.request, active_revision)
         return None if kind is None else self.refuse_as(kind)
 
     def refuse_as(self, kind: ProblemKind) -> Step:
@@ -464,7 +464,7 @@
         self.account.close(
             ending,
             self.progress,
-            self.parts.in_force().revision.revision,
+            self.parts.active_revision().revision.revision,
             self.parts.metrics,
             self.parts.timer.now(),
         )
--- a/godwitshunt/ingress/parts.py
+++ b/godwitshunt/ingress/parts.py
@@ -6,7 +6,7 @@
 from godwitshunt.exchange.upstream_pool import (
     UpstreamPool,
 )
-from godwitshunt.ingress.active_revision import InForce
+from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.authority import Authority
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
@@ -51,7 +51,7 @@
 
     Parameters
     ----------
-    in_force : callable
+    active_revision : callable
         Returns the revision in force; None before the first.
     authority : Authority
         Whether what is known of keys still holds.
@@ -68,7 +68,7 @@
     settings: NodeSettings
     names: HeaderNames
     cluster_key: bytes
-    in_force: Callable[[], InForce | None]
+    active_revision: Callable[[], ActiveRevision | None]
     authority: Authority
     watch: RegistryWatch
     upstreams: Upstreams
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -19,7 +19,7 @@
     render_problem,
 )
 from godwitshunt.exchange.requests import AnswerWriter, HttpRequest
-from godwitshunt.ingress.active_revision import InForce
+from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.admission import Admission
 from godwitshunt.ingress.assembly import make_parts
 from godwitshunt.ingress.header_names import HeaderNames
@@ -64,7 +64,7 @@
     def __init__(self, parts: IngressParts) -> None:
         self.parts = parts
         self.settings: IngressSettings = parts.settings
-        self.in_force: InForce | None = None
+        self.active_revision: ActiveRevision | None = None
         self.admission = Admission(
             parts.names,
             self.current,
@@ -111,12 +111,12 @@
             metrics,
         )
         made = cls(parts)
-        parts.in_force = made.current
+        parts.active_revision = made.current
         return made
 
-    def current(self) -> InForce | None:
+    def current(self) -> ActiveRevision | None:
         """Return the revision in force; None before the first."""
-        return self.in_force
+        return self.active_revision
 
     @property
     def accepting(self) -> bool:
@@ -124,16 +124,16 @@
 
         A VM that cannot prove which keys still hold refuses their requests.
         """
-        if self.in_force is None or self.draining:
+        if self.active_revision is None or self.draining:
             return False
-        has_keys = bool(self.in_force.table.keys.by_name)
+        has_keys = bool(self.active_revision.table.keys.by_name)
         return not has_keys or self.parts.authority.is_proven
 
     def route_homes(self, host: str) -> tuple[frozenset[str], ...]:
         """Return the homes of each route of a host that has any."""
-        if self.in_force is None:
+        if self.active_revision is None:
             return ()
-        routes = self.in_force.revision.manifest.routes
+        routes = self.active_revision.revision.manifest.routes
         return tuple(
             frozenset(route.homes)
             for route in routes
@@ -159,7 +159,7 @@
 
     def apply_revision(self, revision: Revision) -> None:
         """Serve by a newer revision from now on."""
-        self.in_force = InForce.from_revision(revision)
+        self.active_revision = ActiveRevision.from_revision(revision)
         self.configured.set()
         now_s = self.parts.timer.now()
         self.parts.picker.reports.configure(revision.manifest, now_s)
@@ -227,7 +227,7 @@
 
     async def wait_for_revision(self) -> None:
         """Wait a moment for the first revision, while the VM is young."""
-        if self.in_force is None and self.parts.watch.is_young:
+        if self.active_revision is None and self.parts.watch.is_young:
             with suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_WAIT_S):
                     await self.configured.wait()
@@ -277,18 +277,22 @@
 
     def revision_number(self) -> int:
         """Return the revision in force, for logs; 0 before the first."""
-        return 0 if self.in_force is None else self.in_force.revision.revision
+        return (
+            0
+            if self.active_revision is None
+            else self.active_revision.revision.revision
+        )
 
     async def serve_hop(self, http: HttpRequest, writer: AnswerWriter) -> None:
         """Serve a request that another entry VM handed over."""
-        if self.in_force is None:
+        if self.active_revision is None:
             told = 'no revision is in force here yet'
             problem = Problem(ProblemKind.not_ready, told, Outcome.not_run)
             await self.refuse(http, writer, problem)
             return
         read = read_hop(
             http,
-            self.in_force,
+            self.active_revision,
             self.parts,
         )
         if isinstance(read, Err):
--- a/godwitshunt/ingress/tests/test_authority.py
+++ b/godwitshunt/ingress/tests/test_authority.py
@@ -9,7 +9,7 @@
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.exchange.problems import Outcome, ProblemKind
 from godwitshunt.exchange.requests import HttpRequest
-from godwitshunt.ingress.active_revision import InForce
+from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.admission import Admission
 from godwitshunt.ingress.authority import Authority
 from godwitshunt.ingress.header_names import HeaderNames
@@ -26,18 +26,18 @@
 OTHERS = organisation('others', b'k-2')
 
 
-def in_force(*organisations: Organisation) -> InForce:
+def active_revision(*organisations: Organisation) -> ActiveRevision:
     """Return a revision with organisations, in force."""
     made = Revision(1, 'digest', manifest(*organisations))
-    return InForce.from_revision(made)
+    return ActiveRevision.from_revision(made)
 
 
 @dataclass
 class Vm:
     """What a VM knows; news comes when it asks."""
 
-    known: InForce
-    news: InForce | None = None
+    known: ActiveRevision
+    news: ActiveRevision | None = None
     now_s: float = 100.0
     proof_s: float = 99.5
     is_young: bool = False
@@ -81,7 +81,7 @@
 
 async def test_a_known_key_needs_no_question():
     """In calm no request waits for control."""
-    vm = Vm(in_force(WARDS))
+    vm = Vm(active_revision(WARDS))
     found = await vm.admit()
     assert isinstance(found, Ok)
     assert found.ok_value.organisation == WARDS
@@ -91,7 +91,7 @@
 
 async def test_an_unknown_key_is_refused_only_by_news():
     """A key was added a moment ago, and this VM has not heard of it."""
-    vm = Vm(in_force(WARDS), news=in_force(WARDS, OTHERS))
+    vm = Vm(active_revision(WARDS), news=active_revision(WARDS, OTHERS))
     assert isinstance(await vm.admit(b'k-2'), Ok)
     nobody = await vm.admit(b'k-3')
     assert nobody.err_value.kind is ProblemKind.unauthorized
@@ -100,7 +100,7 @@
 
 async def test_without_news_an_unknown_key_is_not_called_unknown():
     """Control does not answer, and the last proof is seconds old."""
-    vm = Vm(in_force(WARDS), proof_s=97.0)
+    vm = Vm(active_revision(WARDS), proof_s=97.0)
     found = await vm.admit(b'k-2')
     assert found.err_value.kind is ProblemKind.unproven
 
@@ -111,7 +111,7 @@
     asks,
 ):
     """It is cut off; what it cannot serve must not be held."""
-    vm = Vm(in_force(WARDS), proof_s=90.0, is_young=is_young)
+    vm = Vm(active_revision(WARDS), proof_s=90.0, is_young=is_young)
     found = await vm.admit()
     assert found.err_value.kind is ProblemKind.unproven
     assert bool(vm.asked) is asks
@@ -128,20 +128,20 @@
 )
 async def test_a_key_is_looked_at_before_each_sending(after, proof_s, refusal):
     """While a request waits the VM is frozen, or the key is taken away."""
-    vm = Vm(in_force(WARDS))
+    vm = Vm(active_revision(WARDS))
     request = (await vm.admit()).ok_value
-    vm.known = in_force(*after)
+    vm.known = active_revision(*after)
     vm.proof_s = proof_s
     assert vm.authority.refusal(request, vm.known) is refusal
 
 
 async def test_a_request_that_was_handed_over_is_looked_at_by_its_name():
     """Its key stayed where it came from."""
-    vm = Vm(in_force(WARDS))
+    vm = Vm(active_revision(WARDS))
     request = (await vm.admit()).ok_value
     handed = replace(request, key_sha256='', handed_over=True)
-    assert vm.authority.refusal(handed, in_force(WARDS)) is None
-    gone = vm.authority.refusal(handed, in_force(OTHERS))
+    assert vm.authority.refusal(handed, active_revision(WARDS)) is None
+    gone = vm.authority.refusal(handed, active_revision(OTHERS))
     assert gone is ProblemKind.unauthorized
 
 
@@ -150,7 +150,7 @@
     bound = ROUTE.model_copy(update={'homes': ('kochi',)})
     home = organisation('wards', b'k-1', homes=('tvm',))
     made = manifest(home).model_copy(update={'routes': (bound,)})
-    vm = Vm(InForce.from_revision(Revision(1, 'digest', made)))
+    vm = Vm(ActiveRevision.from_revision(Revision(1, 'digest', made)))
     found = await vm.admit()
     assert isinstance(found, Err)
     assert found.err_value.kind is ProblemKind.no_upstream
--- a/godwitshunt/ingress/tests/test_hops.py
+++ b/godwitshunt/ingress/tests/test_hops.py
@@ -14,7 +14,11 @@
 from godwitshunt.exchange.requests import HttpRequest
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.hops import read_hop
-from godwitshunt.ingress.tests.test_authority import OTHERS, WARDS, in_force
+from godwitshunt.ingress.tests.test_authority import (
+    OTHERS,
+    WARDS,
+    active_revision,
+)
 
 KEY = b'cluster'
 
@@ -62,11 +66,13 @@
         names=HeaderNames(),
         timer=SimpleNamespace(now=lambda: 5.0),
     )
-    read = read_hop(handed_over(organisation), in_force(WARDS), parts)
+    read = read_hop(handed_over(organisation), active_revision(WARDS), parts)
     assert isinstance(read, Ok) is is_taken
     if is_taken:
         assert read.ok_value.organisation == WARDS
         return
     assert read.err_value.reason == 'revision'
-    later = read_hop(handed_over(organisation), in_force(WARDS, OTHERS), parts)
+    later = read_hop(
+        handed_over(organisation), active_revision(WARDS, OTHERS), parts
+    )
     assert later.ok_value.organisation == OTHERS
--- a/godwitshunt/ingress/tests/test_young_vm.py
+++ b/godwitshunt/ingress/tests/test_young_vm.py
@@ -122,7 +122,7 @@
     """
     monkeypatch.setattr('godwitshunt.ingress.task.FIRST_WAIT_S', 0.1)
     task = IngressTask.__new__(IngressTask)
-    task.in_force = None
+    task.active_revision = None
     task.configured = asyncio.Event()
     task.parts = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
     if comes_after_s is not None:
