--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -135,7 +135,7 @@
         watch = self.parts.watch
         known = watch.view().upstreams.get(told.incarnation)
         is_draining = known is not None and known.told.draining
-        return is_draining or watch.is_over(told)
+        return is_draining or watch.has_ended(told)
 
     def note_survival(self) -> None:
         """Note a whole answer where upstreams were lost before."""
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -307,7 +307,7 @@
         known = self.parts.watch.view().upstreams.get(
             told.incarnation, upstream
         )
-        leaves = known.told.draining or self.parts.watch.is_over(told)
+        leaves = known.told.draining or self.parts.watch.has_ended(told)
         is_home = not homes or self.parts.settings.region in homes
         evacuated = self.parts.active_revision().revision.evacuated
         is_evacuated = told.failure_domain in evacuated
--- a/godwitshunt/registry/joined.py
+++ b/godwitshunt/registry/joined.py
@@ -203,7 +203,7 @@
                 joined[instance] = told if known is None else known.join(told)
         return {one.seen.told.incarnation: one.seen for one in joined.values()}
 
-    def is_over(self, told: UpstreamAnnounced, now_s: float) -> bool:
+    def has_ended(self, told: UpstreamAnnounced, now_s: float) -> bool:
         """Tell whether a start that some process tells of is over."""
         if told.incarnation in self.replaced:
             return True
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -200,9 +200,9 @@
         self.refresh(now_s)
         log_change('registry:instance_replaced', instance=incarnation)
 
-    def is_over(self, told: UpstreamAnnounced) -> bool:
+    def has_ended(self, told: UpstreamAnnounced) -> bool:
         """Tell whether this VM knows that a start of an upstream is over."""
-        return self.joined.is_over(told, self.timer.now())
+        return self.joined.has_ended(told, self.timer.now())
 
     def known_control(self) -> list[KnownControl]:
         """Return the control VMs that may be asked."""
