--- a/godwitshunt/picking/choosing.py
+++ b/godwitshunt/picking/choosing.py
@@ -313,7 +313,7 @@
     worse_s = 0.0
     if upstream.cold_until_s > now_s:
         worse_s += COLD_PENALTY_S
-    if upstream.silent and now_s - health.heard_s > MUTE_AFTER_S:
+    if upstream.silent and now_s - health.last_seen_s > MUTE_AFTER_S:
         worse_s += SILENT_PENALTY_S
     if health.mute_s(now_s) > MUTE_AFTER_S:
         worse_s += MUTE_PENALTY_S
--- a/godwitshunt/picking/upstreams.py
+++ b/godwitshunt/picking/upstreams.py
@@ -92,7 +92,7 @@
             instance: ReportedLoad(
                 health.load,
                 health.oldest_s(),
-                health.heard_s if isfinite(health.heard_s) else None,
+                health.last_seen_s if isfinite(health.last_seen_s) else None,
             )
             for instance, health in self.health.items()
             if health.in_flight
--- a/godwitshunt/routing/upstream_health.py
+++ b/godwitshunt/routing/upstream_health.py
@@ -38,7 +38,7 @@
         Requests of this VM that have not ended there.
     pending_tokens : int
         Prompt tokens of those that wait for their first event.
-    heard_s : float
+    last_seen_s : float
         When bytes last came from it.
     unreached_s : float
         When a connection to it last failed: it may have started again since,
@@ -56,7 +56,7 @@
 
     in_flight: int = 0
     pending_tokens: int = 0
-    heard_s: float = float('-inf')
+    last_seen_s: float = float('-inf')
     unreached_s: float = float('-inf')
     down_until_s: float = float('-inf')
     full_until_s: float = float('-inf')
@@ -79,7 +79,7 @@
         self, number: int, tokens: int, now_s: float
     ) -> None:
         """Note a request's first sign of an answer."""
-        self.heard_s = now_s
+        self.last_seen_s = now_s
         if self.waiting_since.pop(number, None) is not None:
             self.pending_tokens -= tokens
 
@@ -103,7 +103,7 @@
         oldest_s = self.oldest_s()
         if oldest_s is None:
             return 0.0
-        return max(0.0, now_s - max(oldest_s, self.heard_s))
+        return max(0.0, now_s - max(oldest_s, self.last_seen_s))
 
     def oldest_s(self) -> float | None:
         """Return when the oldest waiting request was sent; None for none."""
@@ -113,7 +113,7 @@
         self,
         reporter: str,
         oldest_s: float | None,
-        heard_s: float | None,
+        last_seen_s: float | None,
     ) -> None:
         """Note what another VM reports of its requests there.
 
@@ -123,14 +123,14 @@
             Its name.
         oldest_s : float or None
             When the oldest of its waiting requests was sent.
-        heard_s : float or None
+        last_seen_s : float or None
             When it last heard bytes of the upstream.
         """
         self.waiting_since.pop(reporter, None)
         if oldest_s is not None:
             self.waiting_since[reporter] = oldest_s
-        if heard_s is not None:
-            self.heard_s = max(self.heard_s, heard_s)
+        if last_seen_s is not None:
+            self.last_seen_s = max(self.last_seen_s, last_seen_s)
 
     def record_response_time(
         self,
