--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -149,7 +149,7 @@
         if prompt.worth_keeping:
             self.parts.metrics.count(
                 'ingress_long_prompts_total',
-                kept='yes' if choice.is_kept else 'no',
+                kept='yes' if choice.is_cached else 'no',
             )
 
     def of_vm(
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -112,7 +112,7 @@
         upstream=SimpleNamespace(told=SimpleNamespace(incarnation='i-1')),
         predicted_s=0.1,
         unread_tokens=8000,
-        is_kept=False,
+        is_cached=False,
         **fields,
     )
     parts = SimpleNamespace(
--- a/godwitshunt/picking/choices.py
+++ b/godwitshunt/picking/choices.py
@@ -55,7 +55,7 @@
     unread_tokens : int
         What reading the rest of the prompt takes there, in tokens of a short
         one; requests behind it wait for as much.
-    is_kept : bool
+    is_cached : bool
         True where it keeps the shared parts.
     waiting_tokens : float
         What others wait for to be read there.
@@ -68,7 +68,7 @@
     is_cold: bool
     ranked: tuple[Ranked, ...] = ()
     unread_tokens: int = 0
-    is_kept: bool = False
+    is_cached: bool = False
     waiting_tokens: float = 0.0
     chosen_by_picker: bool = False
 
--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -76,7 +76,7 @@
     chosen = choose(asked, view())
     assert isinstance(chosen, SendHere)
     assert chosen.upstream.told.incarnation == holder
-    assert chosen.is_kept
+    assert chosen.is_cached
 
 
 def test_a_prompt_goes_to_the_region_that_keeps_it():
--- a/godwitshunt/picking/tests/test_exact_counts.py
+++ b/godwitshunt/picking/tests/test_exact_counts.py
@@ -71,10 +71,10 @@
     """
     _, (one, other) = await started()
     first = await one.ask(LONG)
-    assert not first.is_kept
+    assert not first.is_cached
     second = await other.ask(LONG)
     assert place(second) == place(first)
-    assert second.is_kept
+    assert second.is_cached
 
 
 async def test_what_went_to_another_region_counts_until_that_tells_of_it():
