--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -4,8 +4,8 @@
 
 from godwitshunt.exchange.upstream_pool import UpstreamPool
 from godwitshunt.ingress.authority import Authority
+from godwitshunt.ingress.context import Budgets, IngressParts
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.parts import Budgets, IngressParts
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.picking.choosing import Chooser
 from godwitshunt.picking.client import PickerClient
--- a/godwitshunt/ingress/hops.py
+++ b/godwitshunt/ingress/hops.py
@@ -16,8 +16,8 @@
     OutgoingRequest,
 )
 from godwitshunt.ingress.active_revision import ActiveRevision
+from godwitshunt.ingress.context import IngressParts
 from godwitshunt.ingress.headers import keep_sendable
-from godwitshunt.ingress.parts import IngressParts
 from godwitshunt.ingress.requests import RoutedRequest, prompt_of
 from godwitshunt.registry import EntryRecord
 
--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass
 
 from godwitshunt.ingress.attempt import Attempt
+from godwitshunt.ingress.context import IngressParts
 from godwitshunt.ingress.outcomes import (
     NO_ATTEMPT,
     Answered,
@@ -12,7 +13,6 @@
     NotRun,
     Streamed,
 )
-from godwitshunt.ingress.parts import IngressParts
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.picking.choices import HandOver, SendHere
 from godwitshunt.picking.shown import AttemptShown, Shown
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -13,6 +13,7 @@
 from godwitshunt.exchange.requests import AnswerWriter
 from godwitshunt.ingress.account import RequestAccount, Stage
 from godwitshunt.ingress.attempt import ARRIVED_HEADER, QUARANTINED_HEADER
+from godwitshunt.ingress.context import IngressParts
 from godwitshunt.ingress.learning import place_of
 from godwitshunt.ingress.outcomes import (
     Again,
@@ -26,7 +27,6 @@
     RefuseWith,
     Step,
 )
-from godwitshunt.ingress.parts import IngressParts
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.ingress.sending import MARGIN_S, Sender
 from godwitshunt.picking.choices import (
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -11,6 +11,7 @@
 )
 from godwitshunt.ingress.account import RequestAccount, Stage
 from godwitshunt.ingress.attempt import Attempt, Patience
+from godwitshunt.ingress.context import IngressParts
 from godwitshunt.ingress.events import NumberedEvents
 from godwitshunt.ingress.headers import for_upstream
 from godwitshunt.ingress.hops import hop_request, host_of
@@ -22,7 +23,6 @@
     NotRun,
     Progress,
 )
-from godwitshunt.ingress.parts import IngressParts
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.picking.choices import (
     HandOver,
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -22,10 +22,10 @@
 from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.admission import Admission
 from godwitshunt.ingress.assembly import make_parts
+from godwitshunt.ingress.context import IngressParts
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.hops import read_hop
 from godwitshunt.ingress.life import RequestLife
-from godwitshunt.ingress.parts import IngressParts
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.ingress.sending import SIGN_OF_LIFE_S
 from godwitshunt.picking.client import PickerClient
