--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -18,10 +18,12 @@
 
 def learner(in_flight: int) -> Learner:
     """Return a learner that knows one upstream with a load."""
-    told = SimpleNamespace(incarnation='i-1', slots=SLOTS, service='llm')
+    announcement = SimpleNamespace(
+        incarnation='i-1', slots=SLOTS, service='llm'
+    )
     others = Load(in_flight - in_flight // 2, 0)
     view = RegistryView(
-        upstreams={'i-1': SimpleNamespace(told=told)},
+        upstreams={'i-1': SimpleNamespace(announcement=announcement)},
         loads={'i-1': others},
     )
     known = Upstreams()
@@ -106,10 +108,12 @@
 )
 def test_what_waits_before_a_prompt_is_told_with_its_time(choice, held_up):
     """Whoever learns of the attempt does not know what the choice knew."""
-    told = []
+    announcement = []
     fields = {'waiting_tokens': 0.0, 'is_cold': False, **choice}
     chosen = SimpleNamespace(
-        upstream=SimpleNamespace(told=SimpleNamespace(incarnation='i-1')),
+        upstream=SimpleNamespace(
+            announcement=SimpleNamespace(incarnation='i-1')
+        ),
         predicted_s=0.1,
         unread_tokens=8000,
         is_cached=False,
@@ -118,7 +122,7 @@
     parts = SimpleNamespace(
         timer=SimpleNamespace(now=lambda: 1.0),
         learner=SimpleNamespace(learn=lambda shown, service, now_s: None),
-        picker=SimpleNamespace(report_attempt=told.append),
+        picker=SimpleNamespace(report_attempt=announcement.append),
         quarantine=SimpleNamespace(knows_length=lambda length: False),
     )
     request = SimpleNamespace(
@@ -129,4 +133,4 @@
     attempt = SimpleNamespace(misdirected=False, connected=True)
     made = UpstreamAttempt(chosen, attempt, Streamed(), 0.06, 0.5)
     Lessons(parts, request).of_upstream(made)
-    assert [one.was_held_up for one in told] == [held_up]
+    assert [one.was_held_up for one in announcement] == [held_up]
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -89,7 +89,7 @@
 def test_a_failed_connect_makes_an_upstream_suspect(connected):
     """It may start again at any moment, and be cold before that is heard."""
     attempt = SimpleNamespace(misdirected=False, connected=connected)
-    choice = SimpleNamespace(upstream=SimpleNamespace(told=TOLD))
+    choice = SimpleNamespace(upstream=SimpleNamespace(announcement=TOLD))
     made = UpstreamAttempt(choice, attempt, NotRun('connect'), None, 0.1)
     assert (made.shown is Shown.unreached) is not connected
     upstreams = Upstreams()
--- a/godwitshunt/registry/joined.py
+++ b/godwitshunt/registry/joined.py
@@ -122,12 +122,12 @@
         """
         if start.born_ms is not None:
             return start
-        told = [
-            table.upstreams[start.instance].told.born_ms
+        announcement = [
+            table.upstreams[start.instance].announcement.born_ms
             for table in self.tables.values()
             if start.instance in table.upstreams
         ]
-        known = [born_ms for born_ms in told if born_ms is not None]
+        known = [born_ms for born_ms in announcement if born_ms is not None]
         return EndedStart(start.instance, max(known, default=None))
 
     def leave(self, incarnation: str, now_s: float) -> None:
@@ -195,39 +195,48 @@
         joined: dict[str, Told] = {}
         for table in self.tables.values():
             for instance, heard_one in table.upstreams.items():
-                if self.is_past(heard_one.told, table, now_s):
+                if self.is_past(heard_one.announcement, table, now_s):
                     continue
                 seen = self.seen(heard_one, speaks=table in telling)
-                told = Told(seen, (table,))
+                announcement = Told(seen, (table,))
                 known = joined.get(instance)
-                joined[instance] = told if known is None else known.join(told)
-        return {one.seen.told.incarnation: one.seen for one in joined.values()}
-
-    def has_ended(self, told: UpstreamAnnounced, now_s: float) -> bool:
+                joined[instance] = (
+                    announcement if known is None else known.join(announcement)
+                )
+        return {
+            one.seen.announcement.incarnation: one.seen
+            for one in joined.values()
+        }
+
+    def has_ended(self, announcement: UpstreamAnnounced, now_s: float) -> bool:
         """Tell whether a start that some process tells of is over."""
-        if told.incarnation in self.replaced:
+        if announcement.incarnation in self.replaced:
             return True
-        return self.ends.covers(told.instance, told.born_ms, now_s)
+        return self.ends.covers(
+            announcement.instance, announcement.born_ms, now_s
+        )
 
     def is_past(
         self,
-        told: UpstreamAnnounced,
+        announcement: UpstreamAnnounced,
         table: ControlTable,
         now_s: float,
     ) -> bool:
         """Tell whether what a control VM tells of is known to be over."""
-        if told.incarnation in self.replaced:
+        if announcement.incarnation in self.replaced:
             return True
-        if not self.ends.covers(told.instance, told.born_ms, now_s):
+        if not self.ends.covers(
+            announcement.instance, announcement.born_ms, now_s
+        ):
             return False
-        ended_ms = self.ends.by_instance[told.instance].start.born_ms
-        return not table.has_judged(told.instance, ended_ms)
+        ended_ms = self.ends.by_instance[announcement.instance].start.born_ms
+        return not table.has_judged(announcement.instance, ended_ms)
 
     def seen(self, heard_one: HeardUpstream, *, speaks: bool) -> UpstreamSeen:
         """Return what one control VM tells of an incarnation."""
         return UpstreamSeen(
-            told=heard_one.told,
-            region=self.regions.get(heard_one.told.failure_domain, ''),
+            announcement=heard_one.announcement,
+            region=self.regions.get(heard_one.announcement.failure_domain, ''),
             cold_until_s=heard_one.cold_until_s,
             ends_at_s=heard_one.ends_at_s,
             silent=heard_one.silent or not speaks,
@@ -243,7 +252,7 @@
 
     def join(self, other: 'Told') -> 'Told':
         """Return what two control VMs tell of one upstream."""
-        one, two = self.seen.told, other.seen.told
+        one, two = self.seen.announcement, other.seen.announcement
         if one.born_ms == two.born_ms:
             tables = self.tables + other.tables
             return Told(join(self.seen, other.seen), tables)
@@ -251,17 +260,17 @@
 
     def is_before(self, other: 'Told') -> bool:
         """Tell whether another start of the upstream is the later one."""
-        one, two = self.seen.told, other.seen.told
+        one, two = self.seen.announcement, other.seen.announcement
         if None in {one.born_ms, two.born_ms}:
             return one.born_ms is None
         if one.born_ms < two.born_ms:
             return not self.has_judged(two)
         return other.has_judged(one)
 
-    def has_judged(self, told: UpstreamAnnounced) -> bool:
+    def has_judged(self, announcement: UpstreamAnnounced) -> bool:
         """Tell whether one of its control VMs knows that a start is over."""
         return any(
-            table.has_judged(told.instance, told.born_ms)
+            table.has_judged(announcement.instance, announcement.born_ms)
             for table in self.tables
         )
 
@@ -286,14 +295,14 @@
 def join(one: UpstreamSeen, other: UpstreamSeen) -> UpstreamSeen:
     """Return what two control VMs tell of the same incarnation."""
     newer, older = one, other
-    if other.told.sequence > one.told.sequence:
+    if other.announcement.sequence > one.announcement.sequence:
         newer, older = other, one
-    told = newer.told
-    if older.told.draining and not told.draining:
-        told = replace(told, draining=True)
+    announcement = newer.announcement
+    if older.announcement.draining and not announcement.draining:
+        announcement = replace(announcement, draining=True)
     return replace(
         newer,
-        told=told,
+        announcement=announcement,
         silent=one.silent and other.silent,
         ends_at_s=newer.ends_at_s or older.ends_at_s,
     )
--- a/godwitshunt/registry/relay.py
+++ b/godwitshunt/registry/relay.py
@@ -162,7 +162,7 @@
     """Return an incarnation that another control VM told of as a struct."""
     ends_in_s = None if one.ends_at_s is None else one.ends_at_s - now_s
     return announcement_to_wire(
-        one.told,
+        one.announcement,
         cold_s=one.cold_until_s - now_s,
         ends_in_s=ends_in_s,
         silent=one.silent,
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -165,43 +165,43 @@
         """
         return await self.keeper.settle()
 
-    def announce(self, told: UpstreamAnnounced) -> AnnounceOutcome:
+    def announce(self, announcement: UpstreamAnnounced) -> AnnounceOutcome:
         """Take an upstream's announcement."""
-        known = self.upstreams.entries.get(told.instance)
-        outcome = self.upstreams.announce(told, self.timer.now())
+        known = self.upstreams.entries.get(announcement.instance)
+        outcome = self.upstreams.announce(announcement, self.timer.now())
         self.metrics.count(
             'registry_announcements_total',
             outcome=type(outcome).__name__,
         )
         if isinstance(outcome, Taken):
-            self.log_announced(known, told)
+            self.log_announced(known, announcement)
         return outcome
 
     def log_announced(
         self,
         known: UpstreamEntry | None,
-        told: UpstreamAnnounced,
+        announcement: UpstreamAnnounced,
     ) -> None:
         """Log an upstream that is new here or begins to drain.
 
         The entry in the table is the same object before and after; only a
         new one, or a first word of draining, is a change of what we believe.
         """
-        now_known = self.upstreams.entries.get(told.instance)
+        now_known = self.upstreams.entries.get(announcement.instance)
         changed = now_known is not None and (
             now_known.version == self.upstreams.version
         )
         if known is None or changed:
             log_change(
                 'registry:upstream_announced',
-                instance=told.instance,
-                service=told.service,
-                address=str(told.address),
-                failure_domain=told.failure_domain,
-                draining=told.draining,
-                cold_s=told.cold_s,
-                sequence=told.sequence,
-                born_ms=told.born_ms,
+                instance=announcement.instance,
+                service=announcement.service,
+                address=str(announcement.address),
+                failure_domain=announcement.failure_domain,
+                draining=announcement.draining,
+                cold_s=announcement.cold_s,
+                sequence=announcement.sequence,
+                born_ms=announcement.born_ms,
                 version=self.upstreams.version,
             )
 
@@ -305,11 +305,11 @@
 
     def take_prefixes(
         self,
-        told: list[ttypes.PrefixInfo] | None,
+        announcement: list[ttypes.PrefixInfo] | None,
         now_s: float,
     ) -> None:
         """Take what an entry VM's requests have shown of kept prompts."""
-        for read in prefixes_from_wire(told, now_s):
+        for read in prefixes_from_wire(announcement, now_s):
             self.heard_prefixes.note(read)
             self.prefixes.note(read)
 
--- a/godwitshunt/registry/starts.py
+++ b/godwitshunt/registry/starts.py
@@ -130,15 +130,15 @@
 
 def is_other_start(
     known: UpstreamAnnounced,
-    told: UpstreamAnnounced,
+    announcement: UpstreamAnnounced,
 ) -> bool:
     """Tell whether two words of one upstream are of different starts.
 
     A word that does not tell its start goes with whatever start is known; one
     that does follows one that does not, unless its count goes on.
     """
-    if told.born_ms is None or told.born_ms == known.born_ms:
+    if announcement.born_ms is None or announcement.born_ms == known.born_ms:
         return False
     if known.born_ms is None:
-        return told.sequence <= known.sequence
+        return announcement.sequence <= known.sequence
     return True
--- a/godwitshunt/registry/table.py
+++ b/godwitshunt/registry/table.py
@@ -62,7 +62,7 @@
 class UpstreamEntry:
     """One incarnation in the table."""
 
-    told: UpstreamAnnounced
+    announcement: UpstreamAnnounced
     heard_s: float
     cold_until_s: float
     version: int
@@ -109,45 +109,51 @@
 
     def announce(
         self,
-        told: UpstreamAnnounced,
+        announcement: UpstreamAnnounced,
         now_s: float,
     ) -> AnnounceOutcome:
         """Take an announcement; a late one of the past changes nothing."""
-        if self.ends.covers(told.instance, told.born_ms, now_s):
+        if self.ends.covers(announcement.instance, announcement.born_ms, now_s):
             return Stale()
-        known = self.entries.get(told.instance)
-        if known is not None and is_other_start(known.told, told):
-            if not self.follows(known, told, now_s):
+        known = self.entries.get(announcement.instance)
+        if known is not None and is_other_start(
+            known.announcement, announcement
+        ):
+            if not self.follows(known, announcement, now_s):
                 return Stale()
-            self.end_start(known.told, now_s)
+            self.end_start(known.announcement, now_s)
             # The one that ended began later by its clock, which was set back;
             # as an end it would cover the one that follows it.
-            self.ends.by_instance.pop(told.instance, None)
+            self.ends.by_instance.pop(announcement.instance, None)
             known = None
         if known is None:
-            self.add(told, now_s)
+            self.add(announcement, now_s)
             return Taken()
-        return self.renew(known, told, now_s)
+        return self.renew(known, announcement, now_s)
 
     def renew(
         self,
         known: UpstreamEntry,
-        told: UpstreamAnnounced,
+        announcement: UpstreamAnnounced,
         now_s: float,
     ) -> AnnounceOutcome:
         """Take another announcement of the start that is known."""
-        field_name = other_place(known.told, told)
+        field_name = other_place(known.announcement, announcement)
         if field_name is not None:
-            return self.move(known, told, field_name, now_s)
-        if told.sequence <= known.told.sequence:
+            return self.move(known, announcement, field_name, now_s)
+        if announcement.sequence <= known.announcement.sequence:
             return Stale()
-        self.update(known, replace(told, born_ms=known.told.born_ms), now_s)
+        self.update(
+            known,
+            replace(announcement, born_ms=known.announcement.born_ms),
+            now_s,
+        )
         return Taken()
 
     def move(
         self,
         known: UpstreamEntry,
-        told: UpstreamAnnounced,
+        announcement: UpstreamAnnounced,
         field_name: str,
         now_s: float,
     ) -> AnnounceOutcome:
@@ -158,14 +164,14 @@
         """
         if now_s - known.heard_s <= SILENT_AFTER_S:
             return Foreign(field_name)
-        self.entries.pop(known.told.instance)
-        self.add(told, now_s)
+        self.entries.pop(known.announcement.instance)
+        self.add(announcement, now_s)
         return Taken()
 
     def follows(
         self,
         known: UpstreamEntry,
-        told: UpstreamAnnounced,
+        announcement: UpstreamAnnounced,
         now_s: float,
     ) -> bool:
         """Tell whether a start came after the one that is known.
@@ -173,7 +179,10 @@
         One that began earlier by its own clock is a late word of the past, as
         long as words of that may come; after it, its clock was set back.
         """
-        if known.told.born_ms is None or told.born_ms > known.told.born_ms:
+        if (
+            known.announcement.born_ms is None
+            or announcement.born_ms > known.announcement.born_ms
+        ):
             return True
         return now_s - known.heard_s > LATE_WORD_S
 
@@ -191,44 +200,46 @@
         for start in ends:
             self.ends.note(start, now_s)
             self.note_gone(start, now_s)
-        for told in upstreams:
-            if self.ends.covers(told.instance, told.born_ms, now_s):
+        for announcement in upstreams:
+            if self.ends.covers(
+                announcement.instance, announcement.born_ms, now_s
+            ):
                 continue
-            self.entries[told.instance] = UpstreamEntry(
-                told,
+            self.entries[announcement.instance] = UpstreamEntry(
+                announcement,
                 now_s - SILENT_AFTER_S,
-                now_s + told.cold_s,
+                now_s + announcement.cold_s,
                 self.next_version(),
                 silent=True,
             )
 
-    def add(self, told: UpstreamAnnounced, now_s: float) -> None:
+    def add(self, announcement: UpstreamAnnounced, now_s: float) -> None:
         """Take a start that was not known."""
-        self.replace_silent(told.address, now_s)
-        self.entries[told.instance] = UpstreamEntry(
-            told,
+        self.replace_silent(announcement.address, now_s)
+        self.entries[announcement.instance] = UpstreamEntry(
+            announcement,
             now_s,
-            now_s + told.cold_s,
+            now_s + announcement.cold_s,
             self.next_version(),
         )
 
     def update(
         self,
         known: UpstreamEntry,
-        told: UpstreamAnnounced,
+        announcement: UpstreamAnnounced,
         now_s: float,
     ) -> None:
         """Take a newer announcement; a version only where it says more."""
-        before = replace(known.told, sequence=0, cold_s=0)
-        after = replace(told, sequence=0, cold_s=0)
+        before = replace(known.announcement, sequence=0, cold_s=0)
+        after = replace(announcement, sequence=0, cold_s=0)
         # An incarnation that began to drain never goes back.
         after = replace(after, draining=after.draining or before.draining)
-        cold_until_s = now_s + told.cold_s
+        cold_until_s = now_s + announcement.cold_s
         warms_later = cold_until_s > known.cold_until_s + COLD_MARGIN_S
         is_news = before != after or known.silent
-        if is_news or (told.cold_s > 0 and warms_later):
+        if is_news or (announcement.cold_s > 0 and warms_later):
             known.version = self.next_version()
-        known.told = replace(told, draining=after.draining)
+        known.announcement = replace(announcement, draining=after.draining)
         known.heard_s = now_s
         known.cold_until_s = cold_until_s
         known.silent = False
@@ -237,8 +248,11 @@
         """Drop incarnations that another one has followed at an address."""
         for known in tuple(self.entries.values()):
             silent_s = now_s - known.heard_s
-            if known.told.address == address and silent_s > REPLACED_AFTER_S:
-                self.end_start(known.told, now_s)
+            if (
+                known.announcement.address == address
+                and silent_s > REPLACED_AFTER_S
+            ):
+                self.end_start(known.announcement, now_s)
 
     def withdraw(
         self,
@@ -260,15 +274,15 @@
         """
         known = self.entries.get(instance)
         if known is not None:
-            self.end_start(known.told, now_s)
+            self.end_start(known.announcement, now_s)
             return
         self.ends.note(EndedStart(instance), now_s, now_ms)
         self.note_gone(EndedStart(instance), now_s)
 
-    def end_start(self, told: UpstreamAnnounced, now_s: float) -> None:
+    def end_start(self, announcement: UpstreamAnnounced, now_s: float) -> None:
         """Let one start be gone for good."""
-        self.entries.pop(told.instance, None)
-        start = EndedStart(told.instance, told.born_ms)
+        self.entries.pop(announcement.instance, None)
+        start = EndedStart(announcement.instance, announcement.born_ms)
         self.ends.note(start, now_s)
         self.note_gone(start, now_s)
 
@@ -283,7 +297,7 @@
         for known in tuple(self.entries.values()):
             silent_s = now_s - known.heard_s
             if silent_s > FORGOTTEN_AFTER_S:
-                self.end_start(known.told, now_s)
+                self.end_start(known.announcement, now_s)
             elif silent_s > SILENT_AFTER_S and not known.silent:
                 known.silent = True
                 known.version = self.next_version()
@@ -312,10 +326,10 @@
 
 def other_place(
     known: UpstreamAnnounced,
-    told: UpstreamAnnounced,
+    announcement: UpstreamAnnounced,
 ) -> str | None:
     """Return the first field of a start's place that differs; None for none."""
     for name in ('service', 'address', 'failure_domain'):
-        if getattr(told, name) != getattr(known, name):
+        if getattr(announcement, name) != getattr(known, name):
             return name
     return None
--- a/godwitshunt/registry/views.py
+++ b/godwitshunt/registry/views.py
@@ -38,7 +38,7 @@
         Of the control VM's table, when this was told.
     """
 
-    told: UpstreamAnnounced
+    announcement: UpstreamAnnounced
     cold_until_s: float
     ends_at_s: float | None
     silent: bool
@@ -129,9 +129,9 @@
         for start in gone:
             self.end(start, now_s)
         for info in news.upstreams or ():
-            told = upstream_from_wire(info)
-            self.upstreams[told.instance] = heard(
-                told,
+            announcement = upstream_from_wire(info)
+            self.upstreams[announcement.instance] = heard(
+                announcement,
                 now_s,
                 silent=bool(info.silent),
                 version=news.version,
@@ -185,7 +185,7 @@
     def end(self, start: EndedStart, now_s: float) -> None:
         """Take the end of a start; a later one of the upstream stays."""
         known = self.upstreams.get(start.instance)
-        if known is not None and known.told.born_ms == start.born_ms:
+        if known is not None and known.announcement.born_ms == start.born_ms:
             self.upstreams.pop(start.instance)
         name = incarnation_name(start.instance, start.born_ms)
         self.gone[name] = GoneStart(start, self.version, now_s)
@@ -222,16 +222,20 @@
 
 
 def heard(
-    told: UpstreamAnnounced,
+    announcement: UpstreamAnnounced,
     now_s: float,
     *,
     silent: bool,
     version: int = 0,
 ) -> HeardUpstream:
     """Return an incarnation with its durations as points in time."""
-    ends_at_s = None if told.ends_in_s is None else now_s + told.ends_in_s
-    cold_until_s = now_s + told.cold_s
-    return HeardUpstream(told, cold_until_s, ends_at_s, silent, version)
+    ends_at_s = (
+        None
+        if announcement.ends_in_s is None
+        else now_s + announcement.ends_in_s
+    )
+    cold_until_s = now_s + announcement.cold_s
+    return HeardUpstream(announcement, cold_until_s, ends_at_s, silent, version)
 
 
 @dataclass(frozen=True)
@@ -240,7 +244,7 @@
 
     Parameters
     ----------
-    told : UpstreamAnnounced
+    announcement : UpstreamAnnounced
         The newest announcement that any control VM told of.
     region : str
         Region of its failure domain; empty where that is not known.
@@ -252,7 +256,7 @@
         True where no control VM has heard of it of late.
     """
 
-    told: UpstreamAnnounced
+    announcement: UpstreamAnnounced
     region: str
     cold_until_s: float
     ends_at_s: float | None
--- a/godwitshunt/registry/wire.py
+++ b/godwitshunt/registry/wire.py
@@ -20,7 +20,7 @@
     return ttypes.Endpoint(address.host, address.port)
 
 
-def address_of(told: ttypes.Endpoint) -> Address:
+def address_of(announcement: ttypes.Endpoint) -> Address:
     """Read an address.
 
     Raises
@@ -29,7 +29,7 @@
         Where there is none.
     """
     try:
-        return Address(host=told.host, port=told.port)
+        return Address(host=announcement.host, port=announcement.port)
     except (ValueError, AttributeError) as bad:
         raise FrameError(f'Endpoint: {bad!r}') from None
 
@@ -39,11 +39,11 @@
     now_s: float,
 ) -> ttypes.UpstreamInfo:
     """Return an incarnation in a control VM's own table as a struct."""
-    ends_in_s = known.told.ends_in_s
+    ends_in_s = known.announcement.ends_in_s
     if ends_in_s is not None:
         ends_in_s -= now_s - known.heard_s
     return announcement_to_wire(
-        known.told,
+        known.announcement,
         cold_s=known.cold_until_s - now_s,
         ends_in_s=ends_in_s,
         silent=known.silent,
@@ -51,7 +51,7 @@
 
 
 def announcement_to_wire(
-    told: UpstreamAnnounced,
+    announcement: UpstreamAnnounced,
     *,
     cold_s: float,
     ends_in_s: float | None,
@@ -68,17 +68,17 @@
     if ends_in_s is not None:
         ends_in_ms = int(ends_in_s * MILLISECONDS)
     return ttypes.UpstreamInfo(
-        instance=told.instance,
-        service_name=told.service,
-        address=endpoint(told.address),
-        failure_domain=told.failure_domain,
-        slots=told.slots,
-        draining=told.draining,
+        instance=announcement.instance,
+        service_name=announcement.service,
+        address=endpoint(announcement.address),
+        failure_domain=announcement.failure_domain,
+        slots=announcement.slots,
+        draining=announcement.draining,
         cold_ms=max(0, int(cold_s * MILLISECONDS)),
-        sequence=told.sequence,
+        sequence=announcement.sequence,
         silent=silent,
         ends_in_ms=ends_in_ms,
-        born_ms=told.born_ms,
+        born_ms=announcement.born_ms,
     )
 
 
@@ -107,10 +107,12 @@
 
 
 def ends_from_wire(
-    told: Iterable[ttypes.StartEnded] | None,
+    announcement: Iterable[ttypes.StartEnded] | None,
 ) -> tuple[EndedStart, ...]:
     """Read starts that ended."""
-    return tuple(EndedStart(one.instance, one.born_ms) for one in told or ())
+    return tuple(
+        EndedStart(one.instance, one.born_ms) for one in announcement or ()
+    )
 
 
 def entry_to_wire(record: EntryRecord) -> ttypes.EntryInfo:
@@ -152,12 +154,12 @@
 
 
 def loads_from_wire(
-    told: Iterable[ttypes.UpstreamLoad] | None,
+    announcement: Iterable[ttypes.UpstreamLoad] | None,
 ) -> Mapping[str, Load]:
     """Read requests at upstreams."""
     return {
         one.instance: Load(one.in_flight, one.pending_tokens)
-        for one in told or ()
+        for one in announcement or ()
     }
 
 
@@ -192,7 +194,7 @@
 
 
 def report_from_wire(
-    told: ttypes.LoadReport,
+    announcement: ttypes.LoadReport,
     source: str,
     now_s: float,
 ) -> Report:
@@ -209,10 +211,10 @@
             since_s(one.waiting_ms, now_s),
             since_s(one.heard_ms, now_s),
         )
-        for one in told.loads or ()
+        for one in announcement.loads or ()
     }
-    taken = told.places_taken if told.places_of == source else 0
-    return Report(told.session or '', told.number, loads, taken)
+    taken = announcement.places_taken if announcement.places_of == source else 0
+    return Report(announcement.session or '', announcement.number, loads, taken)
 
 
 def admitted_to_wire(
@@ -225,10 +227,10 @@
 
 
 def admitted_from_wire(
-    told: list[ttypes.AdmittedUnits] | None,
+    announcement: list[ttypes.AdmittedUnits] | None,
 ) -> dict[str, float]:
     """Read what organisations were admitted."""
-    return {one.organisation: one.units or 0.0 for one in told or ()}
+    return {one.organisation: one.units or 0.0 for one in announcement or ()}
 
 
 def age_ms(since_s: float | None, now_s: float) -> int | None:
@@ -259,11 +261,11 @@
 
 
 def prefixes_from_wire(
-    told: Iterable[ttypes.PrefixInfo] | None,
+    announcement: Iterable[ttypes.PrefixInfo] | None,
     now_s: float,
 ) -> tuple[CachedPrefix, ...]:
     """Read prefixes that were read, an age later than was told."""
     return tuple(
         CachedPrefix(one.key, one.instance, now_s - one.age_ms / MILLISECONDS)
-        for one in told or ()
+        for one in announcement or ()
     )
