--- a/godwitshunt/picking/upstreams.py
+++ b/godwitshunt/picking/upstreams.py
@@ -91,7 +91,7 @@
         return {
             instance: ReportedLoad(
                 health.load,
-                health.oldest_s(),
+                health.oldest_sent_s(),
                 health.last_seen_s if isfinite(health.last_seen_s) else None,
             )
             for instance, health in self.health.items()
--- a/godwitshunt/routing/upstream_health.py
+++ b/godwitshunt/routing/upstream_health.py
@@ -100,19 +100,19 @@
         Zero where no request waits; else the time since the oldest waiting
         request was sent or since it last sent bytes, whichever is later.
         """
-        oldest_s = self.oldest_s()
-        if oldest_s is None:
+        oldest_sent_s = self.oldest_sent_s()
+        if oldest_sent_s is None:
             return 0.0
-        return max(0.0, now_s - max(oldest_s, self.last_seen_s))
+        return max(0.0, now_s - max(oldest_sent_s, self.last_seen_s))
 
-    def oldest_s(self) -> float | None:
+    def oldest_sent_s(self) -> float | None:
         """Return when the oldest waiting request was sent; None for none."""
         return min(self.waiting_since.values(), default=None)
 
     def record_report(
         self,
         reporter: str,
-        oldest_s: float | None,
+        oldest_sent_s: float | None,
         last_seen_s: float | None,
     ) -> None:
         """Note what another VM reports of its requests there.
@@ -121,14 +121,14 @@
         ----------
         reporter : str
             Its name.
-        oldest_s : float or None
+        oldest_sent_s : float or None
             When the oldest of its waiting requests was sent.
         last_seen_s : float or None
             When it last heard bytes of the upstream.
         """
         self.waiting_since.pop(reporter, None)
-        if oldest_s is not None:
-            self.waiting_since[reporter] = oldest_s
+        if oldest_sent_s is not None:
+            self.waiting_since[reporter] = oldest_sent_s
         if last_seen_s is not None:
             self.last_seen_s = max(self.last_seen_s, last_seen_s)
 
