--- a/godwitshunt/picking/wire.py
+++ b/godwitshunt/picking/wire.py
@@ -105,7 +105,7 @@
             made.upstream = seen_to_wire(choice.upstream, now_s)
             made.is_cold = choice.is_cold
             made.unread_tokens = choice.unread_tokens
-            made.is_cached = choice.is_cached
+            made.is_kept = choice.is_cached
             made.waiting_tokens = int(choice.waiting_tokens)
         case HandOver(entry=entry, predicted_s=predicted_s):
             made.kind = GivenKind.entry
@@ -166,7 +166,7 @@
                 made.predicted_ms / MILLISECONDS,
                 bool(made.is_cold),
                 unread_tokens=made.unread_tokens,
-                is_cached=bool(made.is_cached),
+                is_cached=bool(made.is_kept),
                 waiting_tokens=made.waiting_tokens,
                 chosen_by_picker=True,
             )
