--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -4,7 +4,7 @@
 
 from godwitshunt.exchange.upstream_pool import UpstreamPool
 from godwitshunt.ingress.authority import Authority
-from godwitshunt.ingress.context import Budgets, IngressParts
+from godwitshunt.ingress.context import Budgets, IngressContext
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.picking.choosing import Chooser
@@ -18,7 +18,7 @@
 from godwitshunt.timer import Timer
 
 
-def make_parts(
+def make_context(
     settings: IngressSettings,
     cluster_key: bytes,
     names: HeaderNames,
@@ -26,7 +26,7 @@
     picker: PickerClient,
     timer: Timer,
     metrics: Metrics,
-) -> IngressParts:
+) -> IngressContext:
     """Return the parts of an entry VM, before any revision is in force."""
     upstreams = picker.reports.upstreams
     source = settings.http.host
@@ -37,7 +37,7 @@
         Random(),
         settings.away_s,
     )
-    parts = IngressParts(
+    context = IngressContext(
         settings=settings,
         names=names,
         cluster_key=cluster_key,
@@ -56,8 +56,8 @@
         timer=timer,
         metrics=metrics,
     )
-    chooser.filter.has_cold_capacity = parts.has_cold_capacity
-    return parts
+    chooser.filter.has_cold_capacity = context.has_cold_capacity
+    return context
 
 
 def make_budgets(settings: IngressSettings, now_s: float) -> Budgets:
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class IngressParts:
+class IngressContext:
     """What every request is served with.
 
     Parameters
--- a/godwitshunt/ingress/hops.py
+++ b/godwitshunt/ingress/hops.py
@@ -16,7 +16,7 @@
     OutgoingRequest,
 )
 from godwitshunt.ingress.active_revision import ActiveRevision
-from godwitshunt.ingress.context import IngressParts
+from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.headers import keep_sendable
 from godwitshunt.ingress.requests import RoutedRequest, prompt_of
 from godwitshunt.registry import EntryRecord
@@ -31,7 +31,7 @@
 def hop_request(
     request: RoutedRequest,
     entry: EntryRecord,
-    parts: IngressParts,
+    context: IngressContext,
     remaining_s: float,
     resume_after: int | None,
     *,
@@ -39,7 +39,7 @@
 ) -> OutgoingRequest:
     """Return a request as another entry VM gets it."""
     http = request.http
-    settings = parts.settings
+    settings = context.settings
     note = ForwardNote(
         path=[settings.name],
         regions=[settings.region],
@@ -59,7 +59,7 @@
         path_prefix=request.route.path_prefix,
         organisation=request.organisation_name or None,
     )
-    signed = sign_note(note, parts.cluster_key)
+    signed = sign_note(note, context.cluster_key)
     return OutgoingRequest(
         method=http.method,
         target=http.target,
@@ -69,7 +69,7 @@
         longest_idle_s=LONGEST_IDLE_S,
         connect_timeout_s=CONNECT_TIMEOUT_S,
         host=host_of(http),
-        id_header=parts.names.request_id,
+        id_header=context.names.request_id,
     )
 
 
@@ -82,7 +82,7 @@
 def read_hop(
     http: HttpRequest,
     active_revision: ActiveRevision,
-    parts: IngressParts,
+    context: IngressContext,
 ) -> Result[RoutedRequest, ForwardRefused]:
     """Read a request that another VM handed over, its note checked.
 
@@ -93,8 +93,8 @@
     told = http.header(FORWARD_HEADER)
     if told is None:
         return Err(ForwardRefused('signature'))
-    own = parts.settings.name
-    checked = read_note(told, parts.cluster_key, own, http)
+    own = context.settings.name
+    checked = read_note(told, context.cluster_key, own, http)
     if isinstance(checked, Err):
         return checked
     note = checked.ok_value
@@ -103,16 +103,16 @@
     route = active_revision.route_of(note, organisation)
     if route is None or service is None:
         return Err(ForwardRefused('revision'))
-    now_s = parts.timer.now()
+    now_s = context.timer.now()
     resumes = note.resume_after is not None and note.resume_after >= 0
     return Ok(
         RoutedRequest(
             id=note.request_id or '',
             http=http,
-            headers=keep_sendable(http.headers, parts.names),
+            headers=keep_sendable(http.headers, context.names),
             route=route,
             service=service,
-            prompt=prompt_of(http, parts.names),
+            prompt=prompt_of(http, context.names),
             arrived_s=now_s,
             ends_s=now_s + max(0, note.remaining_ms or 0) / MILLISECONDS,
             resume_after=note.resume_after if resumes else None,
--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from godwitshunt.ingress.attempt import Attempt
-from godwitshunt.ingress.context import IngressParts
+from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.outcomes import (
     NO_ATTEMPT,
     Answered,
@@ -75,7 +75,7 @@
 class Lessons:
     """Learns from the attempts of one request, and tells the picker."""
 
-    parts: IngressParts
+    context: IngressContext
     request: RoutedRequest
 
     def of_upstream(self, made: UpstreamAttempt) -> None:
@@ -98,9 +98,9 @@
             unread_tokens=choice.unread_tokens,
             was_held_up=bool(choice.waiting_tokens) or choice.is_cold,
         )
-        now_s = self.parts.timer.now()
-        self.parts.learner.learn(told, self.request.service, now_s)
-        self.parts.picker.report_attempt(told)
+        now_s = self.context.timer.now()
+        self.context.learner.learn(told, self.request.service, now_s)
+        self.context.picker.report_attempt(told)
         if shown is Shown.answered:
             self.count_prompt(choice)
 
@@ -112,7 +112,7 @@
         """
         told = made.choice.upstream.told
         if made.attempt.closed and not self.leaves(told):
-            self.parts.witness.record_loss(
+            self.context.witness.record_loss(
                 self.request,
                 place_of(made.choice),
                 told.address,
@@ -132,14 +132,14 @@
 
     def leaves(self, told: UpstreamAnnounced) -> bool:
         """Tell whether an upstream said that it leaves."""
-        watch = self.parts.watch
+        watch = self.context.watch
         known = watch.view().upstreams.get(told.incarnation)
         is_draining = known is not None and known.told.draining
         return is_draining or watch.has_ended(told)
 
     def note_survival(self) -> None:
         """Note a whole answer where upstreams were lost before."""
-        quarantine = self.parts.quarantine
+        quarantine = self.context.quarantine
         if quarantine.knows_length(len(self.request.http.body)):
             quarantine.clear(self.request.fingerprint)
 
@@ -147,7 +147,7 @@
         """Count whether a long prompt's shared parts were kept there."""
         prompt = self.request.prompt
         if prompt.worth_keeping:
-            self.parts.metrics.count(
+            self.context.metrics.count(
                 'ingress_long_prompts_total',
                 kept='yes' if choice.is_cached else 'no',
             )
@@ -166,11 +166,11 @@
         str or None
             The VM's name, or its region where the VM has no place there.
         """
-        now_s = self.parts.timer.now()
+        now_s = self.context.timer.now()
         entry = choice.entry
-        neighbours = self.parts.neighbours
+        neighbours = self.context.neighbours
         if isinstance(outcome, Lost) and attempt.closed:
-            self.parts.witness.record_loss(
+            self.context.witness.record_loss(
                 self.request,
                 place_of(choice),
                 entry.hop,
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -13,7 +13,7 @@
 from godwitshunt.exchange.requests import AnswerWriter
 from godwitshunt.ingress.account import RequestAccount, Stage
 from godwitshunt.ingress.attempt import ARRIVED_HEADER, QUARANTINED_HEADER
-from godwitshunt.ingress.context import IngressParts
+from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.learning import place_of
 from godwitshunt.ingress.outcomes import (
     Again,
@@ -58,7 +58,7 @@
 
     Parameters
     ----------
-    parts : IngressParts
+    context : IngressContext
         What every request is served with.
     request : RoutedRequest
         The request.
@@ -66,7 +66,7 @@
         Where its answer goes.
     """
 
-    parts: IngressParts
+    context: IngressContext
     request: RoutedRequest
     writer: AnswerWriter
     retry_after_s: float = RETRY_AFTER_S
@@ -88,7 +88,7 @@
         )
         self.account = RequestAccount(self.request)
         self.sender = Sender(
-            self.parts,
+            self.context,
             self.request,
             self.writer,
             self.progress,
@@ -101,7 +101,7 @@
         if channel.ended:
             raise ConnectionResetError('the caller is gone')
         self.task = asyncio.current_task()
-        now_s = self.parts.timer.now()
+        now_s = self.context.timer.now()
         self.account.note_stage(Stage.admitted, now_s)
         channel.on_lost = self.lose_caller
         try:
@@ -124,7 +124,7 @@
 
     async def decide(self) -> Step:
         """Make attempts until one step ends the request."""
-        remaining_s = self.request.remaining_s(self.parts.timer.now())
+        remaining_s = self.request.remaining_s(self.context.timer.now())
         try:
             async with asyncio.timeout(max(0.0, remaining_s - MARGIN_S)):
                 return await self.make_attempts()
@@ -133,7 +133,7 @@
             return self.progress.pass_deadline(under_way=under_way)
         finally:
             if self.is_probe:
-                self.parts.quarantine.end_probe(self.request.fingerprint)
+                self.context.quarantine.end_probe(self.request.fingerprint)
 
     async def make_attempts(self) -> Step:
         """Choose and send until an attempt settles the request."""
@@ -145,7 +145,7 @@
     async def make_attempt(self) -> Step:
         """Choose and send once; return what to do next."""
         choice = await self.choose_with_news()
-        self.account.note_stage(Stage.placed, self.parts.timer.now())
+        self.account.note_stage(Stage.placed, self.context.timer.now())
         if isinstance(choice, NoPlace):
             return self.refuse(choice)
         if isinstance(choice, Limited):
@@ -155,7 +155,7 @@
             return refusal
         outcome = await self.sender.send(choice)
         await self.record_outcome(choice, outcome)
-        now_s = self.parts.timer.now()
+        now_s = self.context.timer.now()
         return self.progress.take(outcome, self.request.remaining_s(now_s))
 
     async def record_outcome(
@@ -170,11 +170,11 @@
         """
         self.is_counted = isinstance(outcome, NotRun)
         if isinstance(outcome, NotRun) and outcome.is_final:
-            self.retry_after_s = self.parts.quarantine.length_s
-        table = self.parts.quarantine.table
+            self.retry_after_s = self.context.quarantine.length_s
+        table = self.context.quarantine.table
         is_lost = isinstance(outcome, Lost)
         if is_lost and table.has_losses(self.request.fingerprint):
-            await self.parts.witness.settled(place_of(choice))
+            await self.context.witness.settled(place_of(choice))
 
     def quarantine_step(self) -> Step | None:
         """Return the last step of a request that must not be sent.
@@ -182,7 +182,7 @@
         One that is merely suspected is not sent again by this system: the
         next upstream that ends would be the third.
         """
-        quarantine = self.parts.quarantine
+        quarantine = self.context.quarantine
         if not quarantine.knows_length(len(self.request.http.body)):
             return None
         fingerprint = self.request.fingerprint
@@ -192,7 +192,7 @@
         if assessment.status is QuarantineStatus.quarantined:
             self.retry_after_s = assessment.wait_s
             self.is_quarantined = True
-            self.parts.metrics.count(
+            self.context.metrics.count(
                 'quarantine_refused_total',
                 service=self.request.service.name,
             )
@@ -218,7 +218,7 @@
     def may_wait_for_news(self, choice: Choice) -> bool:
         """Tell whether no upstream is known since the VM is young."""
         nowhere = isinstance(choice, NoPlace) and not choice.overloaded
-        return nowhere and self.parts.watch.is_young
+        return nowhere and self.context.watch.is_young
 
     async def choose(self) -> Choice:
         """Return where the request goes now, its budgets spent."""
@@ -227,7 +227,7 @@
             if choice is None:
                 choice = self.choose_alone()
                 self.note_counted(choice)
-            age_s = self.parts.watch.age_s()
+            age_s = self.context.watch.age_s()
             self.account.note_choice(choice, age_s)
             if isinstance(choice, (NoPlace, Limited)):
                 return choice
@@ -245,7 +245,7 @@
         of the configuration in force; such a place is not used.
         """
         for _ in range(MOST_QUESTIONS):
-            choice = await self.parts.picker.place(self.question())
+            choice = await self.context.picker.place(self.question())
             self.note_counted(choice)
             if choice is None or self.is_sound(choice):
                 return choice
@@ -255,11 +255,11 @@
     def question(self) -> DestinationRequest:
         """Return what the picker is asked."""
         request = self.request
-        now_s = self.parts.timer.now()
+        now_s = self.context.timer.now()
         service = request.service.name
-        avoided = self.parts.neighbours.avoided_for(service, now_s)
+        avoided = self.context.neighbours.avoided_for(service, now_s)
         return DestinationRequest(
-            entry=self.parts.settings.name,
+            entry=self.context.settings.name,
             request=request.id,
             host=request.route.host,
             path_prefix=request.route.path_prefix,
@@ -304,12 +304,12 @@
         """
         told = upstream.told
         homes = self.request.route.homes
-        known = self.parts.watch.view().upstreams.get(
+        known = self.context.watch.view().upstreams.get(
             told.incarnation, upstream
         )
-        leaves = known.told.draining or self.parts.watch.has_ended(told)
-        is_home = not homes or self.parts.settings.region in homes
-        evacuated = self.parts.active_revision().revision.evacuated
+        leaves = known.told.draining or self.context.watch.has_ended(told)
+        is_home = not homes or self.context.settings.region in homes
+        evacuated = self.context.active_revision().revision.evacuated
         is_evacuated = told.failure_domain in evacuated
         return is_home and not leaves and not is_evacuated
 
@@ -334,12 +334,12 @@
 
     def choose_alone(self) -> Choice:
         """Return this VM's own choice, within its own part of limits."""
-        limits = self.parts.picker.reports.limits
+        limits = self.context.picker.reports.limits
         name, cost = self.request.organisation_name, self.cost()
         is_limited = name and not self.request.handed_over
-        now_s = self.parts.timer.now()
+        now_s = self.context.timer.now()
         if is_limited:
-            status = self.parts.limit_standing()
+            status = self.context.limit_standing()
             wait_s = limits.wait_s(name, cost, status, now_s)
             if wait_s:
                 return Limited(wait_s)
@@ -351,7 +351,7 @@
     def choose_alone_unlimited(self) -> Choice:
         """Return this VM's own choice on what is known now."""
         request = self.request
-        now_s = self.parts.timer.now()
+        now_s = self.context.timer.now()
         ask = ChoiceRequest(
             route=request.route,
             service=request.service,
@@ -361,25 +361,25 @@
             excluded=frozenset(self.sender.excluded),
             local=request.handed_over,
             low_urgency_regions=request.low_urgency_regions,
-            holders=self.parts.watch.prefixes.holders(
+            holders=self.context.watch.prefixes.holders(
                 request.prompt.shared_key,
                 now_s,
             ),
-            entry=self.parts.settings.name,
+            entry=self.context.settings.name,
         )
-        view = self.parts.watch.view()
-        revision = self.parts.active_revision().revision
-        return self.parts.chooser.choose(ask, view, revision)
+        view = self.context.watch.view()
+        revision = self.context.active_revision().revision
+        return self.context.chooser.choose(ask, view, revision)
 
     def may_repeat(self) -> bool:
         """Take one repeat from the budget where an upstream had it before."""
         if not self.progress.arrivals:
             return True
-        window = self.parts.budgets.retry_window(self.request.service.name)
-        now_s = self.parts.timer.now()
-        if window.spend(now_s, self.parts.neighbours.count()):
+        window = self.context.budgets.retry_window(self.request.service.name)
+        now_s = self.context.timer.now()
+        if window.spend(now_s, self.context.neighbours.count()):
             return True
-        self.parts.metrics.count('ingress_retries_denied_total')
+        self.context.metrics.count('ingress_retries_denied_total')
         return False
 
     def may_send(self, choice: SendHere) -> bool:
@@ -387,11 +387,11 @@
         cold = self.request.service.cold_start
         if choice.chosen_by_picker or not choice.is_cold or cold is None:
             return True
-        return self.parts.budgets.cold.spend(
+        return self.context.budgets.cold.spend(
             choice.upstream.told.incarnation,
             cold.requests_per_s,
-            self.parts.cold_share(),
-            self.parts.timer.now(),
+            self.context.cold_share(),
+            self.context.timer.now(),
         )
 
     def refuse(self, choice: NoPlace) -> Step:
@@ -411,8 +411,8 @@
 
     def authority_refusal(self) -> Step | None:
         """Return the last step of a request whose key holds no more."""
-        active_revision = self.parts.active_revision()
-        kind = self.parts.authority.refusal(self.request, active_revision)
+        active_revision = self.context.active_revision()
+        kind = self.context.authority.refusal(self.request, active_revision)
         return None if kind is None else self.refuse_as(kind)
 
     def refuse_as(self, kind: ProblemKind) -> Step:
@@ -428,7 +428,7 @@
         """Send the caller the end of its answer."""
         match step:
             case Deliver(answer):
-                self.account.record_first_try(self.parts.timer.now())
+                self.account.record_first_try(self.context.timer.now())
                 self.close_account(f'answered {answer.status}')
                 await self.writer.whole(answer)
             case Finish():
@@ -464,7 +464,7 @@
         self.account.close(
             ending,
             self.progress,
-            self.parts.active_revision().revision.revision,
-            self.parts.metrics,
-            self.parts.timer.now(),
+            self.context.active_revision().revision.revision,
+            self.context.metrics,
+            self.context.timer.now(),
         )
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -11,7 +11,7 @@
 )
 from godwitshunt.ingress.account import RequestAccount, Stage
 from godwitshunt.ingress.attempt import Attempt, Patience
-from godwitshunt.ingress.context import IngressParts
+from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.events import NumberedEvents
 from godwitshunt.ingress.headers import for_upstream
 from godwitshunt.ingress.hops import hop_request, host_of
@@ -97,7 +97,7 @@
         another VM chooses it.
     """
 
-    parts: IngressParts
+    context: IngressContext
     request: RoutedRequest
     writer: AnswerWriter
     progress: Progress
@@ -108,7 +108,7 @@
 
     def __post_init__(self) -> None:
         self.events = NumberedEvents(last_id=self.request.resume_after)
-        self.lessons = Lessons(self.parts, self.request)
+        self.lessons = Lessons(self.context, self.request)
 
     async def send(self, choice: SendHere | HandOver) -> AttemptOutcome:
         """Send the request where it was chosen to go."""
@@ -120,22 +120,24 @@
 
     async def send_here(self, choice: SendHere) -> AttemptOutcome:
         """Send the request to an upstream of this region."""
-        parts = self.parts
+        context = self.context
         told = choice.upstream.told
-        health = parts.upstreams.of(told.incarnation)
+        health = context.upstreams.of(told.incarnation)
         tokens = choice.unread_tokens
         signs = SignsOfLife(
             health,
             next(numbers),
             tokens,
-            parts.timer,
-            parts.picker.schedule_report,
+            context.timer,
+            context.picker.schedule_report,
         )
-        sent_s = parts.timer.now()
+        sent_s = context.timer.now()
         self.note_first_try(sent_s)
         health.begin(signs.number, tokens, sent_s)
-        parts.picker.schedule_report()
-        parts.upstreams.record_sent(self.request.service.name, told.incarnation)
+        context.picker.schedule_report()
+        context.upstreams.record_sent(
+            self.request.service.name, told.incarnation
+        )
         attempt = self.make_attempt(
             told.address,
             self.upstream_request(told),
@@ -155,7 +157,7 @@
         """Count a request that no upstream has had, for the retry budget."""
         if not self.progress.arrivals:
             service = self.request.service.name
-            self.parts.budgets.retry_window(service).record_first_try(now_s)
+            self.context.budgets.retry_window(service).record_first_try(now_s)
 
     def learn(
         self,
@@ -166,11 +168,11 @@
         sent_s: float,
     ) -> None:
         """Learn of the upstream; do not choose it again where it failed."""
-        self.parts.picker.schedule_report()
+        self.context.picker.schedule_report()
         first_s = None
         if signs.first_at_s is not None:
             first_s = signs.first_at_s - sent_s
-        took_s = self.parts.timer.now() - sent_s
+        took_s = self.context.timer.now() - sent_s
         made = UpstreamAttempt(choice, attempt, outcome, first_s, took_s)
         self.account.note_attempt(made.instance, outcome)
         if isinstance(outcome, (NotRun, Lost, Failed)):
@@ -187,9 +189,9 @@
             ignore,
             from_vm=True,
         )
-        sent_s = self.parts.timer.now()
+        sent_s = self.context.timer.now()
         outcome = await self.make(attempt)
-        took_s = self.parts.timer.now() - sent_s
+        took_s = self.context.timer.now() - sent_s
         place = f'{choice.entry.region}/{choice.entry.name}'
         self.account.note_attempt(place, outcome)
         failed = self.lessons.of_vm(choice, attempt, outcome, took_s)
@@ -199,7 +201,7 @@
 
     async def make(self, attempt: Attempt) -> AttemptOutcome:
         """Make an attempt; while it is under way, its outcome is unknown."""
-        pool = self.parts.hops if attempt.from_vm else self.parts.pool
+        pool = self.context.hops if attempt.from_vm else self.context.pool
         self.under_way = True
         outcome = await attempt.run(pool, self.writer)
         self.under_way = False
@@ -218,12 +220,12 @@
         if self.progress.begun:
             self.events.resume()
         return Attempt(
-            names=self.parts.names,
+            names=self.context.names,
             address=address,
             outgoing=outgoing,
             events=self.events,
             patience=patience,
-            answer_bytes=self.parts.settings.limits.answer_bytes,
+            answer_bytes=self.context.settings.limits.answer_bytes,
             on_life=partial(self.note_life, on_life),
             on_begun=self.note_begun,
             on_stage=self.note_stage,
@@ -232,13 +234,13 @@
 
     def note_stage(self, stage: Stage) -> None:
         """Note how far the request has come."""
-        self.account.note_stage(stage, self.parts.timer.now())
+        self.account.note_stage(stage, self.context.timer.now())
 
     def note_life(self, on_life: Callable[[], None]) -> None:
         """Note that something came, of a stream that the caller gets, too."""
         on_life()
         if self.progress.begun:
-            self.account.note_bytes(self.parts.timer.now())
+            self.account.note_bytes(self.context.timer.now())
 
     def note_begun(self) -> None:
         """Note that the head of a stream goes to the caller.
@@ -247,10 +249,10 @@
         the shared parts for the next request that has them.
         """
         self.progress.begun = True
-        self.account.record_first_try(self.parts.timer.now())
+        self.account.record_first_try(self.context.timer.now())
         prompt = self.request.prompt
         if self.reader is not None and prompt.worth_keeping:
-            self.parts.watch.record_cached_prefix(
+            self.context.watch.record_cached_prefix(
                 prompt.shared_key, self.reader
             )
 
@@ -262,7 +264,7 @@
 
     def remaining_s(self) -> float:
         """Return the seconds that an upstream may take."""
-        return self.request.remaining_s(self.parts.timer.now()) - MARGIN_S
+        return self.request.remaining_s(self.context.timer.now()) - MARGIN_S
 
     def patience(self, predicted_s: float) -> Patience:
         """Return how long an attempt at an upstream is waited for."""
@@ -295,7 +297,7 @@
             target=request.http.target,
             headers=for_upstream(
                 request.headers,
-                self.parts.names,
+                self.context.names,
                 told.instance,
                 self.remaining_s(),
                 request.urgency,
@@ -307,7 +309,7 @@
             longest_idle_s=ONCE_IDLE_S if once else REPEATABLE_IDLE_S,
             connect_timeout_s=CONNECT_TIMEOUT_S,
             host=host_of(request.http),
-            id_header=self.parts.names.request_id,
+            id_header=self.context.names.request_id,
             until_close=True,
             skips_others=True,
             origin=told.incarnation,
@@ -318,7 +320,7 @@
         return hop_request(
             self.request,
             choice.entry,
-            self.parts,
+            self.context,
             self.remaining_s(),
             self.resume_after(),
             repeat=bool(self.progress.arrivals),
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -21,8 +21,8 @@
 from godwitshunt.exchange.requests import AnswerWriter, HttpRequest
 from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.admission import Admission
-from godwitshunt.ingress.assembly import make_parts
-from godwitshunt.ingress.context import IngressParts
+from godwitshunt.ingress.assembly import make_context
+from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.hops import read_hop
 from godwitshunt.ingress.life import RequestLife
@@ -57,20 +57,20 @@
 
     Parameters
     ----------
-    parts : IngressParts
+    context : IngressContext
         What every request is served with.
     """
 
-    def __init__(self, parts: IngressParts) -> None:
-        self.parts = parts
-        self.settings: IngressSettings = parts.settings
+    def __init__(self, context: IngressContext) -> None:
+        self.context = context
+        self.settings: IngressSettings = context.settings
         self.active_revision: ActiveRevision | None = None
         self.admission = Admission(
-            parts.names,
+            context.names,
             self.current,
-            parts.authority,
+            context.authority,
             Random(),
-            lambda: parts.watch.is_young,
+            lambda: context.watch.is_young,
         )
         self.configured = asyncio.Event()
         self.draining = False
@@ -81,13 +81,13 @@
             limits=self.settings.limits,
             tls=caller_context(self.settings.tls),
         )
-        self.listener = Listener(options, parts.metrics, self.serve_caller)
+        self.listener = Listener(options, context.metrics, self.serve_caller)
         hop_options = replace(
             options,
             address=self.settings.hop,
             idle_timeout_s=HOP_IDLE_S,
         )
-        self.hops = Listener(hop_options, parts.metrics, self.serve_hop)
+        self.hops = Listener(hop_options, context.metrics, self.serve_hop)
 
     @classmethod
     def from_config(
@@ -101,7 +101,7 @@
         metrics: Metrics,
     ) -> Self:
         """Make the ingress of an entry VM."""
-        parts = make_parts(
+        context = make_context(
             settings,
             cluster_key,
             names,
@@ -110,8 +110,8 @@
             timer,
             metrics,
         )
-        made = cls(parts)
-        parts.active_revision = made.current
+        made = cls(context)
+        context.active_revision = made.current
         return made
 
     def current(self) -> ActiveRevision | None:
@@ -127,7 +127,7 @@
         if self.active_revision is None or self.draining:
             return False
         has_keys = bool(self.active_revision.table.keys.by_name)
-        return not has_keys or self.parts.authority.is_proven
+        return not has_keys or self.context.authority.is_proven
 
     def route_homes(self, host: str) -> tuple[frozenset[str], ...]:
         """Return the homes of each route of a host that has any."""
@@ -144,25 +144,25 @@
         """Listen for callers and for other entry VMs."""
         await self.listener.start()
         await self.hops.start()
-        self.subscription = self.parts.timer.every(TICK_S, self.tick)
+        self.subscription = self.context.timer.every(TICK_S, self.tick)
 
     def tick(self) -> None:
         """Follow which VMs and upstreams there are."""
-        view = self.parts.watch.view()
-        now_s = self.parts.timer.now()
-        self.parts.neighbours.hear(view.entries, now_s)
-        self.parts.neighbours.round_trips = self.parts.watch.round_trips()
-        self.parts.upstreams.forget(view.upstreams)
-        self.parts.pool.forget(view.upstreams)
-        self.parts.budgets.cold.forget(frozenset(view.upstreams))
-        self.parts.metrics.gauge('ingress_in_progress', self.in_progress)
+        view = self.context.watch.view()
+        now_s = self.context.timer.now()
+        self.context.neighbours.hear(view.entries, now_s)
+        self.context.neighbours.round_trips = self.context.watch.round_trips()
+        self.context.upstreams.forget(view.upstreams)
+        self.context.pool.forget(view.upstreams)
+        self.context.budgets.cold.forget(frozenset(view.upstreams))
+        self.context.metrics.gauge('ingress_in_progress', self.in_progress)
 
     def apply_revision(self, revision: Revision) -> None:
         """Serve by a newer revision from now on."""
         self.active_revision = ActiveRevision.from_revision(revision)
         self.configured.set()
-        now_s = self.parts.timer.now()
-        self.parts.picker.reports.configure(revision.manifest, now_s)
+        now_s = self.context.timer.now()
+        self.context.picker.reports.configure(revision.manifest, now_s)
         limits = revision.manifest.input_limits
         own = self.settings.limits.model_copy(
             update={
@@ -191,14 +191,14 @@
         limit_s : float
             Seconds after which what is in progress is cut.
         """
-        start_s = self.parts.timer.now()
+        start_s = self.context.timer.now()
         self.draining = True
         self.listener.last_answers = True
         await asyncio.sleep(farewell_s)
         for listener in (self.listener, self.hops):
             listener.stop_accepting()
             listener.drain()
-        while self.parts.timer.now() - start_s < limit_s:
+        while self.context.timer.now() - start_s < limit_s:
             if not (self.listener.answering or self.hops.answering):
                 break
             await asyncio.sleep(DRAIN_CHECK_S)
@@ -207,9 +207,9 @@
             log_change('ingress:drain_cut', requests=cut)
         if self.subscription is not None:
             self.subscription.cancel()
-        await self.parts.witness.close()
-        self.parts.pool.close()
-        self.parts.hops.close()
+        await self.context.witness.close()
+        self.context.pool.close()
+        self.context.hops.close()
 
     async def serve_caller(
         self,
@@ -217,7 +217,7 @@
         writer: AnswerWriter,
     ) -> None:
         """Serve a caller's request."""
-        now_s = self.parts.timer.now()
+        now_s = self.context.timer.now()
         await self.wait_for_revision()
         match await self.admission.admit(http, now_s):
             case Ok(request):
@@ -227,7 +227,7 @@
 
     async def wait_for_revision(self) -> None:
         """Wait a moment for the first revision, while the VM is young."""
-        if self.active_revision is None and self.parts.watch.is_young:
+        if self.active_revision is None and self.context.watch.is_young:
             with suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_WAIT_S):
                     await self.configured.wait()
@@ -240,7 +240,7 @@
         """Live a request's life; count it while it lasts."""
         self.in_progress += 1
         try:
-            await RequestLife(self.parts, request, writer).run()
+            await RequestLife(self.context, request, writer).run()
         finally:
             self.in_progress -= 1
 
@@ -251,19 +251,19 @@
         problem: Problem,
     ) -> None:
         """Refuse a request that was not admitted."""
-        self.parts.metrics.count(
+        self.context.metrics.count(
             'ingress_refused_total',
             kind=problem.kind.slug,
         )
         log_change(
             'ingress:request_refused',
-            request=http.header(self.parts.names.request_id) or '',
+            request=http.header(self.context.names.request_id) or '',
             host=http.header(b'host') or '',
             path=http.path[:200],
             kind=problem.kind.slug,
             detail=problem.detail,
             revision=self.revision_number(),
-            proof_age_s=round(self.parts.authority.age_s(), 2),
+            proof_age_s=round(self.context.authority.age_s(), 2),
         )
         answer = render_problem(problem)
         if problem.kind in COME_BACK:
@@ -293,7 +293,7 @@
         read = read_hop(
             http,
             self.active_revision,
-            self.parts,
+            self.context,
         )
         if isinstance(read, Err):
             reason = read.err_value.reason
@@ -301,7 +301,7 @@
             await self.refuse(http, writer, problem)
             return
         request = read.ok_value
-        signs = self.parts.timer.every(SIGN_OF_LIFE_S, writer.sign_of_life)
+        signs = self.context.timer.every(SIGN_OF_LIFE_S, writer.sign_of_life)
         try:
             await self.live(request, writer)
         finally:
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -119,7 +119,7 @@
         is_cached=False,
         **fields,
     )
-    parts = SimpleNamespace(
+    context = SimpleNamespace(
         timer=SimpleNamespace(now=lambda: 1.0),
         learner=SimpleNamespace(learn=lambda shown, service, now_s: None),
         picker=SimpleNamespace(report_attempt=announcement.append),
@@ -132,5 +132,5 @@
     )
     attempt = SimpleNamespace(misdirected=False, connected=True)
     made = UpstreamAttempt(chosen, attempt, Streamed(), 0.06, 0.5)
-    Lessons(parts, request).of_upstream(made)
+    Lessons(context, request).of_upstream(made)
     assert [one.was_held_up for one in announcement] == [held_up]
--- a/godwitshunt/ingress/tests/test_hops.py
+++ b/godwitshunt/ingress/tests/test_hops.py
@@ -60,19 +60,19 @@
     is_taken,
 ):
     """A VM that is a revision behind, and serves what it knows no homes of."""
-    parts = SimpleNamespace(
+    context = SimpleNamespace(
         settings=SimpleNamespace(name='e-2'),
         cluster_key=KEY,
         names=HeaderNames(),
         timer=SimpleNamespace(now=lambda: 5.0),
     )
-    read = read_hop(handed_over(organisation), active_revision(WARDS), parts)
+    read = read_hop(handed_over(organisation), active_revision(WARDS), context)
     assert isinstance(read, Ok) is is_taken
     if is_taken:
         assert read.ok_value.organisation == WARDS
         return
     assert read.err_value.reason == 'revision'
     later = read_hop(
-        handed_over(organisation), active_revision(WARDS, OTHERS), parts
+        handed_over(organisation), active_revision(WARDS, OTHERS), context
     )
     assert later.ok_value.organisation == OTHERS
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -51,7 +51,7 @@
     sender = Sender.__new__(Sender)
     sender.request = request
     sender.progress = SimpleNamespace(begun=False)
-    sender.parts = SimpleNamespace(
+    sender.context = SimpleNamespace(
         names=NAMES,
         timer=SimpleNamespace(now=lambda: NOW_S),
     )
@@ -72,7 +72,7 @@
     view = RegistryView(upstreams={'i-1~1000': None})
     task = IngressTask.__new__(IngressTask)
     task.in_progress = 0
-    task.parts = SimpleNamespace(
+    task.context = SimpleNamespace(
         watch=SimpleNamespace(view=lambda: view, round_trips=dict),
         timer=SimpleNamespace(now=lambda: NOW_S),
         neighbours=SimpleNamespace(hear=lambda entries, now_s: None),
--- a/godwitshunt/ingress/tests/test_quarantined_life.py
+++ b/godwitshunt/ingress/tests/test_quarantined_life.py
@@ -34,7 +34,7 @@
         self.quarantine = Quarantine(LENGTH_S, lambda: self.now_s, Metrics())
         for number in range(ends):
             self.lose(f'i-{number}')
-        self.parts = SimpleNamespace(
+        self.context = SimpleNamespace(
             quarantine=self.quarantine,
             metrics=Metrics(),
         )
@@ -107,7 +107,7 @@
     assert life.quarantine_step() is None
     assert life.is_probe
     other = Life(ends=0)
-    other.parts.quarantine = life.quarantine
+    other.context.quarantine = life.quarantine
     other.request = life.request
     assert other.quarantine_step().kind is ProblemKind.quarantined
     assert life.quarantine_step() is None
--- a/godwitshunt/ingress/tests/test_young_vm.py
+++ b/godwitshunt/ingress/tests/test_young_vm.py
@@ -22,7 +22,7 @@
 
     def __init__(self, choices, *, is_young=True):
         self.choices = list(choices)
-        self.parts = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
+        self.context = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
 
     async def choose(self):
         """Return the next choice."""
@@ -124,7 +124,7 @@
     task = IngressTask.__new__(IngressTask)
     task.active_revision = None
     task.configured = asyncio.Event()
-    task.parts = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
+    task.context = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
     if comes_after_s is not None:
         loop = asyncio.get_running_loop()
         loop.call_later(comes_after_s, task.configured.set)
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -101,7 +101,7 @@
             self.metrics,
         )
 
-        authority = self.ingress.parts.authority
+        authority = self.ingress.context.authority
         authority.age_s = self.configuration.quorum_age_s
         authority.renew = self.configuration.ask_now
 
