--- a/godwitshunt/exchange/queueing.py
+++ b/godwitshunt/exchange/queueing.py
@@ -64,7 +64,7 @@
                 return self.enter(decision, route, now)
             case Serve() | Forward():
                 if self.ticket is not None:
-                    self.queue.taken(self.ticket, now)
+                    self.queue.dispatch(self.ticket, now)
                     self.ticket = None
             case Refuse():
                 self.leave()
@@ -90,5 +90,5 @@
     def leave(self) -> None:
         """Give up the place, if there is one."""
         if self.ticket is not None:
-            self.queue.withdrawn(self.ticket)
+            self.queue.withdraw(self.ticket)
             self.ticket = None
--- a/godwitshunt/routing/admission.py
+++ b/godwitshunt/routing/admission.py
@@ -176,9 +176,9 @@
                 return place
         return 0
 
-    def taken(self, ticket: Ticket, now: float) -> None:
+    def dispatch(self, ticket: Ticket, now: float) -> None:
         """Remove a request that found a place."""
-        if self.withdrawn(ticket):
+        if self.withdraw(ticket):
             self.turn += 1
             meter = self.drains.get(ticket.request_class)
             if meter is None:
@@ -186,7 +186,7 @@
                 self.drains[ticket.request_class] = meter
             meter.note(now)
 
-    def withdrawn(self, ticket: Ticket) -> bool:
+    def withdraw(self, ticket: Ticket) -> bool:
         """Remove a request whose caller has gone; False where it is not here.
 
         It makes no turn and no drain: others did not get further by a slot.
@@ -194,7 +194,7 @@
         queue = self.waiting.get(ticket.request_class, {})
         return queue.pop(ticket.number, None) is not None
 
-    def expired(self, now: float) -> tuple[Ticket, ...]:
+    def remove_expired(self, now: float) -> tuple[Ticket, ...]:
         """Remove and return requests that can no longer be answered in time.
 
         They are refused now rather than at their deadline.
@@ -206,7 +206,7 @@
             if now + ticket.answer_s > ticket.deadline_s
         ]
         for ticket in late:
-            self.withdrawn(ticket)
+            self.withdraw(ticket)
         return tuple(late)
 
 
--- a/godwitshunt/routing/tests/test_overload.py
+++ b/godwitshunt/routing/tests/test_overload.py
@@ -75,7 +75,7 @@
     queues = queue()
     for number in range(drained):
         queues.offer(ticket(number), 0.0)
-        queues.taken(ticket(number), number / drained)
+        queues.dispatch(ticket(number), number / drained)
     queues.waiting['urgent'] = {at: ticket(at) for at in range(100, 120)}
     outcome = queues.offer(ticket(99, answer_s=answer_s), 1.0)
     assert isinstance(outcome, Queued) == accepted
@@ -95,7 +95,7 @@
         order.append(chosen.request_class)
         share = queues.slot_share(chosen, 0.5, second)
         assert (share == 1) == (chosen.number == 1)
-        queues.taken(chosen, second)
+        queues.dispatch(chosen, second)
     assert 40 <= order.index('long') <= 44
     assert order.count('urgent') == 99
 
@@ -137,14 +137,14 @@
             if isinstance(queues.offer(offered, now), Queued):
                 accepted.add(number)
         elif event == 'expire':
-            ended += [late.number for late in queues.expired(now)]
+            ended += [late.number for late in queues.remove_expired(now)]
         else:
             chosen = queues.next_ticket(now)
             if chosen is not None:
-                queues.taken(chosen, now)
+                queues.dispatch(chosen, now)
                 ended.append(chosen.number)
-                assert not queues.withdrawn(chosen)
-    ended += [late.number for late in queues.expired(now + 99)]
+                assert not queues.withdraw(chosen)
+    ended += [late.number for late in queues.remove_expired(now + 99)]
     assert sorted(ended) == sorted(accepted)
 
 
