--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -11,7 +11,7 @@
 from godwitshunt.exchange.problems import Outcome, Problem, ProblemKind
 from godwitshunt.exchange.requests import HttpRequest
 from godwitshunt.ingress.active_revision import ActiveRevision
-from godwitshunt.ingress.authority import Authority
+from godwitshunt.ingress.authorization import Authority
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.headers import keep_sendable
 from godwitshunt.ingress.prompts import Prompt
--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from godwitshunt.exchange.upstream_pool import UpstreamPool
-from godwitshunt.ingress.authority import Authority
+from godwitshunt.ingress.authorization import Authority
 from godwitshunt.ingress.context import Budgets, IngressContext
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -7,7 +7,7 @@
     UpstreamPool,
 )
 from godwitshunt.ingress.active_revision import ActiveRevision
-from godwitshunt.ingress.authority import Authority
+from godwitshunt.ingress.authorization import Authority
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.organisations import Standing
--- a/godwitshunt/ingress/tests/test_authority.py
+++ b/godwitshunt/ingress/tests/test_authority.py
@@ -11,7 +11,7 @@
 from godwitshunt.exchange.requests import HttpRequest
 from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.admission import Admission
-from godwitshunt.ingress.authority import Authority
+from godwitshunt.ingress.authorization import Authority
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.manifest import Organisation
 from godwitshunt.organisations import FreshnessRule, key_digest
