--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -212,7 +212,7 @@
             self.picker.upstreams.of(instance).record_report(name, None, None)
         for instance, one in report.loads.items():
             health = self.picker.upstreams.of(instance)
-            health.record_report(name, one.oldest_s, one.heard_s)
+            health.record_report(name, one.oldest_s, one.last_received_s)
         self.reported[name] = frozenset(report.loads)
 
     def forget_absent(self) -> None:
--- a/godwitshunt/registry/wire.py
+++ b/godwitshunt/registry/wire.py
@@ -184,7 +184,7 @@
                 one.load.in_flight,
                 one.load.pending_tokens,
                 age_ms(one.oldest_s, now_s),
-                age_ms(one.heard_s, now_s),
+                age_ms(one.last_received_s, now_s),
             )
             for instance, one in report.loads.items()
         ],
