--- a/godwitshunt/picking/upstreams.py
+++ b/godwitshunt/picking/upstreams.py
@@ -69,10 +69,10 @@
             )
             self.outliers[service] = detector
         if isinstance(outcome, Answered):
-            detector.note(instance, outcome, tuple(present), now_s)
+            detector.record(instance, outcome, tuple(present), now_s)
             return False
         before = detector.excluded(now_s)
-        detector.note(instance, outcome, tuple(present), now_s)
+        detector.record(instance, outcome, tuple(present), now_s)
         return instance in detector.excluded(now_s) - before
 
     def ejected(self, service: str, now_s: float) -> frozenset[str]:
--- a/godwitshunt/routing/admission.py
+++ b/godwitshunt/routing/admission.py
@@ -184,7 +184,7 @@
             if meter is None:
                 meter = DemandMeter(memory_s=DRAIN_MEMORY_S)
                 self.drains[ticket.request_class] = meter
-            meter.note(now)
+            meter.record(now)
 
     def withdraw(self, ticket: Ticket) -> bool:
         """Remove a request whose caller has gone; False where it is not here.
--- a/godwitshunt/routing/limits.py
+++ b/godwitshunt/routing/limits.py
@@ -186,7 +186,7 @@
             return Limited(LOAN_S)
         meter = self.meters.setdefault(caller, DemandMeter())
         # Limited requests count as well: demand is what callers want.
-        meter.note(now)
+        meter.record(now)
         rate = self.rate(caller, now)
         bucket = self.buckets.get(caller)
         if bucket is None:
--- a/godwitshunt/routing/meters.py
+++ b/godwitshunt/routing/meters.py
@@ -76,7 +76,7 @@
     updated_s: float = 0.0
     memory_s: float = DEMAND_MEMORY_S
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Count one request."""
         self.weight = self.decayed(now) + 1
         self.updated_s = now
--- a/godwitshunt/routing/outliers.py
+++ b/godwitshunt/routing/outliers.py
@@ -67,7 +67,7 @@
     probes: int = 0
     probing: bool = False
 
-    def note(self, outcome: AttemptOutcome) -> None:
+    def record(self, outcome: AttemptOutcome) -> None:
         """Count one attempt."""
         self.samples += 1
         failed = 0.0
@@ -114,7 +114,7 @@
     first_ejection_s: float = FIRST_EJECTION_S
     longest_ejection_s: float = LONGEST_EJECTION_S
 
-    def note(
+    def record(
         self,
         upstream: str,
         outcome: AttemptOutcome,
@@ -135,9 +135,9 @@
             The timer's time.
         """
         state = self.states.setdefault(upstream, Health())
-        state.note(outcome)
+        state.record(outcome)
         if state.ejected_until_s is not None:
-            self.note_probe(state, outcome, now)
+            self.record_probe(state, outcome, now)
         elif self.is_outlier(state, present) and self.may_eject(present):
             state.eject(
                 now,
@@ -145,7 +145,7 @@
                 self.longest_ejection_s,
             )
 
-    def note_probe(
+    def record_probe(
         self,
         state: Health,
         outcome: AttemptOutcome,
--- a/godwitshunt/routing/router.py
+++ b/godwitshunt/routing/router.py
@@ -118,7 +118,7 @@
         service = upstream.service
         detector = self.services.setdefault(service, OutlierDetector())
         present = self.serving.get(service, frozenset())
-        detector.note(upstream.name, outcome, present, self.timer.now())
+        detector.record(upstream.name, outcome, present, self.timer.now())
 
     def record_abandoned(self, upstream: UpstreamView) -> None:
         """Count an attempt that was given up before it came to anything.
--- a/godwitshunt/routing/tests/test_overload.py
+++ b/godwitshunt/routing/tests/test_overload.py
@@ -158,7 +158,7 @@
     found = OutlierDetector()
     for _ in range(samples):
         for name in NAMES:
-            found.note(name, outcomes.get(name, FAST), NAMES, 0.0)
+            found.record(name, outcomes.get(name, FAST), NAMES, 0.0)
     return found
 
 
@@ -187,13 +187,13 @@
     assert found.excluded(later) == set()
     found.record_sent('e2')
     assert found.excluded(later) == {'e2'}
-    found.note('e2', Failed(), NAMES, later)
+    found.record('e2', Failed(), NAMES, later)
     assert found.excluded(later + FIRST_EJECTION_S) == {'e2'}
     later += 2 * FIRST_EJECTION_S
     for _ in range(2):
         assert found.excluded(later) == set()
         found.record_sent('e2')
-        found.note('e2', FAST, NAMES, later)
+        found.record('e2', FAST, NAMES, later)
     assert not found.is_ejected('e2')
     found.forget(('e1',))
     assert set(found.states) == {'e1'}
