--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -102,7 +102,7 @@
     trouble: Trouble
     pools: dict[int, LimitPool] = field(default_factory=dict)
     starts: dict[int, int] = field(default_factory=dict)
-    heard_s: dict[tuple[int, int], float] = field(default_factory=dict)
+    peers_seen_s: dict[tuple[int, int], float] = field(default_factory=dict)
     next_s: float = 0.0
 
     def __post_init__(self) -> None:
@@ -116,7 +116,7 @@
         self.pools[region].configure({NAME: LIMIT}, now_s, starts=True)
         self.starts[region] = self.starts.get(region, 0) + 1
         for other in range(REGIONS):
-            self.heard_s.pop((region, other), None)
+            self.peers_seen_s.pop((region, other), None)
 
     def ask(self, vm: int, now_s: float) -> bool:
         """Ask the picker of the VM's region."""
@@ -126,17 +126,17 @@
             str(other)
             for other in range(REGIONS)
             if other == region
-            or now_s - self.heard_s.get((region, other), -PEER_TIMEOUT_S)
+            or now_s - self.peers_seen_s.get((region, other), -PEER_TIMEOUT_S)
             < PEER_TIMEOUT_S
         }
         standing = Standing(
             part=usable_share(str(region), names, tuple(names), heard),
             share=1 / REGIONS,
-            heard_s=min(
+            peers_seen_s=min(
                 (
-                    self.heard_s[region, int(other)]
+                    self.peers_seen_s[region, int(other)]
                     for other in heard
-                    if (region, int(other)) in self.heard_s
+                    if (region, int(other)) in self.peers_seen_s
                 ),
                 default=inf,
             ),
@@ -161,7 +161,7 @@
             asof_s = now_s - WAY_S
             share = shares[str(other)]
             self.pools[region].hear(source, sums, asof_s, share)
-            self.heard_s[region, other] = asof_s
+            self.peers_seen_s[region, other] = asof_s
 
 
 @dataclass
--- a/godwitshunt/organisations/limits.py
+++ b/godwitshunt/organisations/limits.py
@@ -55,7 +55,7 @@
         fixed shares of those that are not heard.
     share : float
         Its own fixed share.
-    heard_s : float
+    peers_seen_s : float
         All others that count as heard were heard since then; infinite where
         there are none.
     allowance : float
@@ -64,7 +64,7 @@
 
     part: float = 1.0
     share: float = 1.0
-    heard_s: float = inf
+    peers_seen_s: float = inf
     allowance: float = 0.0
 
 
@@ -136,7 +136,7 @@
         their shares of it meanwhile. A small organisation's share may be less
         than two of its prompts; a part of what operators bear goes to those.
         """
-        passed_s = max(0.0, now_s - standing.heard_s)
+        passed_s = max(0.0, now_s - standing.peers_seen_s)
         allowed = self.capacity + self.limit.per_s * passed_s
         return standing.share * (allowed + USED_SHARE * standing.allowance)
 
@@ -145,7 +145,7 @@
         while self.recent and self.recent[0][0] < now_s - PEER_TIMEOUT_S:
             self.recent.popleft()
         return sum(
-            units for at_s, units in self.recent if at_s > standing.heard_s
+            units for at_s, units in self.recent if at_s > standing.peers_seen_s
         )
 
     def take_heard(self, units: float, silent_s: float) -> None:
--- a/godwitshunt/organisations/tests/test_limits.py
+++ b/godwitshunt/organisations/tests/test_limits.py
@@ -69,7 +69,7 @@
         return Standing(
             part=usable_share(self.name, REGIONS, PICKERS, heard),
             share=fixed_shares(REGIONS)[self.name],
-            heard_s=min(fresh.values(), default=inf),
+            peers_seen_s=min(fresh.values(), default=inf),
             allowance=ALLOWANCE,
         )
 
@@ -327,12 +327,12 @@
     """
     pool = LimitPool()
     pool.configure({NAME: LIMIT}, 0.0, starts=False)
-    told = Standing(share=0.3, heard_s=0.9, allowance=4 * RATE)
+    told = Standing(share=0.3, peers_seen_s=0.9, allowance=4 * RATE)
     for _ in range(3):
         assert not pool.wait_s(NAME, 30.0, told, 1.0)
         pool.take(NAME, 30.0, 1.0)
     assert pool.wait_s(NAME, 30.0, told, 1.0) > 0
-    untold = Standing(share=0.3, heard_s=0.9)
+    untold = Standing(share=0.3, peers_seen_s=0.9)
     assert pool.wait_s(NAME, 30.0, untold, 1.0) > 0
 
 
--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -84,7 +84,7 @@
         return Standing(
             part=usable_share(own, pickers, known, heard),
             share=shares[own],
-            heard_s=min(heard.values()),
+            peers_seen_s=min(heard.values()),
             allowance=self.allowance,
         )
 
