--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -11,7 +11,7 @@
 from godwitshunt.exchange.problems import Outcome, Problem, ProblemKind
 from godwitshunt.exchange.requests import HttpRequest
 from godwitshunt.ingress.active_revision import ActiveRevision
-from godwitshunt.ingress.authorization import Authority
+from godwitshunt.ingress.authorization import Authorizer
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.headers import keep_sendable
 from godwitshunt.ingress.prompts import Prompt
@@ -60,7 +60,7 @@
         Headers that callers speak.
     active_revision : callable
         Returns the revision in force; None before the first.
-    authority : Authority
+    authorizer : Authorizer
         Whether what is known of keys still holds.
     random : random.Random
         Draws a service by the route's weights.
@@ -70,7 +70,7 @@
 
     names: HeaderNames
     active_revision: Callable[[], ActiveRevision | None]
-    authority: Authority
+    authorizer: Authorizer
     random: Random
     is_young: Callable[[], bool] = never
 
@@ -90,7 +90,7 @@
         with suppress(TimeoutError):
             async with asyncio.timeout(KEY_WAIT_S):
                 found = await self.find_with_news(http, now_s)
-        if self.is_unknown_key(found) and not self.authority.is_newest:
+        if self.is_unknown_key(found) and not self.authorizer.is_newest:
             told = 'whether the key holds could not be found out'
             return refused(ProblemKind.unproven, told)
         return found
@@ -105,9 +105,9 @@
         A control VM may itself lag behind the one that acknowledged a key.
         """
         while True:
-            await self.authority.renew()
+            await self.authorizer.renew()
             found = self.find(http, now_s)
-            is_certain = self.authority.is_newer_than(now_s)
+            is_certain = self.authorizer.is_newer_than(now_s)
             if is_certain or not self.may_be_behind(found):
                 return found
             await asyncio.sleep(KEY_ASK_PERIOD_S)
@@ -154,7 +154,7 @@
         """Return whose a request is."""
         if not route.keyed:
             return Ok(Holder())
-        if not self.authority.is_proven:
+        if not self.authorizer.is_proven:
             told = 'it is not known here which keys still hold'
             return refused(ProblemKind.unproven, told)
         keys = [
--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from godwitshunt.exchange.upstream_pool import UpstreamPool
-from godwitshunt.ingress.authorization import Authority
+from godwitshunt.ingress.authorization import Authorizer
 from godwitshunt.ingress.context import Budgets, IngressContext
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
@@ -42,7 +42,7 @@
         names=names,
         cluster_key=cluster_key,
         active_revision=lambda: None,
-        authority=Authority.from_config(settings.bounds, timer.now),
+        authorizer=Authorizer.from_config(settings.bounds, timer.now),
         watch=watch,
         upstreams=upstreams,
         neighbours=picker.neighbours,
--- a/godwitshunt/ingress/authorization.py
+++ b/godwitshunt/ingress/authorization.py
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Authority:
+class Authorizer:
     """What this VM may act on.
 
     Parameters
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -7,7 +7,7 @@
     UpstreamPool,
 )
 from godwitshunt.ingress.active_revision import ActiveRevision
-from godwitshunt.ingress.authorization import Authority
+from godwitshunt.ingress.authorization import Authorizer
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.organisations import Standing
@@ -53,7 +53,7 @@
     ----------
     active_revision : callable
         Returns the revision in force; None before the first.
-    authority : Authority
+    authorizer : Authorizer
         Whether what is known of keys still holds.
     chooser : Chooser
         Chooses where the region's picker does not answer.
@@ -69,7 +69,7 @@
     names: HeaderNames
     cluster_key: bytes
     active_revision: Callable[[], ActiveRevision | None]
-    authority: Authority
+    authorizer: Authorizer
     watch: RegistryWatch
     upstreams: Upstreams
     neighbours: Neighbours
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -412,7 +412,7 @@
     def authority_refusal(self) -> Step | None:
         """Return the last step of a request whose key holds no more."""
         active_revision = self.context.active_revision()
-        kind = self.context.authority.refusal(self.request, active_revision)
+        kind = self.context.authorizer.refusal(self.request, active_revision)
         return None if kind is None else self.refuse_as(kind)
 
     def refuse_as(self, kind: ProblemKind) -> Step:
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -68,7 +68,7 @@
         self.admission = Admission(
             context.names,
             self.current,
-            context.authority,
+            context.authorizer,
             Random(),
             lambda: context.watch.is_young,
         )
@@ -127,7 +127,7 @@
         if self.active_revision is None or self.draining:
             return False
         has_keys = bool(self.active_revision.table.keys.by_name)
-        return not has_keys or self.context.authority.is_proven
+        return not has_keys or self.context.authorizer.is_proven
 
     def route_homes(self, host: str) -> tuple[frozenset[str], ...]:
         """Return the homes of each route of a host that has any."""
@@ -263,7 +263,7 @@
             kind=problem.kind.slug,
             detail=problem.detail,
             revision=self.revision_number(),
-            proof_age_s=round(self.context.authority.age_s(), 2),
+            proof_age_s=round(self.context.authorizer.age_s(), 2),
         )
         answer = render_problem(problem)
         if problem.kind in COME_BACK:
--- a/godwitshunt/ingress/tests/test_authority.py
+++ b/godwitshunt/ingress/tests/test_authority.py
@@ -11,7 +11,7 @@
 from godwitshunt.exchange.requests import HttpRequest
 from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.admission import Admission
-from godwitshunt.ingress.authorization import Authority
+from godwitshunt.ingress.authorization import Authorizer
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.manifest import Organisation
 from godwitshunt.organisations import FreshnessRule, key_digest
@@ -42,10 +42,10 @@
     proof_s: float = 99.5
     is_young: bool = False
     asked: int = 0
-    authority: Authority = field(init=False)
+    authorizer: Authorizer = field(init=False)
 
     def __post_init__(self) -> None:
-        self.authority = Authority(
+        self.authorizer = Authorizer(
             FreshnessRule(REVOKE_S),
             lambda: self.now_s,
             lambda: self.now_s - self.proof_s,
@@ -54,7 +54,7 @@
         self.admission = Admission(
             HeaderNames(),
             lambda: self.known,
-            self.authority,
+            self.authorizer,
             Random(1),
             lambda: self.is_young,
         )
@@ -132,7 +132,7 @@
     request = (await vm.admit()).ok_value
     vm.known = active_revision(*after)
     vm.proof_s = proof_s
-    assert vm.authority.refusal(request, vm.known) is refusal
+    assert vm.authorizer.refusal(request, vm.known) is refusal
 
 
 async def test_a_request_that_was_handed_over_is_looked_at_by_its_name():
@@ -140,8 +140,8 @@
     vm = Vm(active_revision(WARDS))
     request = (await vm.admit()).ok_value
     handed = replace(request, key_sha256='', handed_over=True)
-    assert vm.authority.refusal(handed, active_revision(WARDS)) is None
-    gone = vm.authority.refusal(handed, active_revision(OTHERS))
+    assert vm.authorizer.refusal(handed, active_revision(WARDS)) is None
+    gone = vm.authorizer.refusal(handed, active_revision(OTHERS))
     assert gone is ProblemKind.unauthorized
 
 
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -101,9 +101,9 @@
             self.metrics,
         )
 
-        authority = self.ingress.context.authority
-        authority.age_s = self.configuration.quorum_age_s
-        authority.renew = self.configuration.ask_now
+        authorizer = self.ingress.context.authorizer
+        authorizer.age_s = self.configuration.quorum_age_s
+        authorizer.renew = self.configuration.ask_now
 
     def control(self) -> tuple[Address, ...]:
         """Return the peer addresses of the control VMs that are known.
