--- a/godwitshunt/registry/ledger.py
+++ b/godwitshunt/registry/ledger.py
@@ -29,13 +29,13 @@
     oldest_s : float or None
         When the oldest of those that have shown nothing was sent; None for
         none.
-    heard_s : float or None
+    last_received_s : float or None
         When bytes last came from the upstream; None for never.
     """
 
     load: Load
     oldest_s: float | None = None
-    heard_s: float | None = None
+    last_received_s: float | None = None
 
 
 @dataclass(frozen=True)
@@ -87,7 +87,7 @@
     Examples
     --------
     >>> ledger = LoadLedger()
-    >>> number = ledger.give('e-1', 'i-1', tokens=300, now_s=5.0)
+    >>> number = ledger.reserve('e-1', 'i-1', tokens=300, now_s=5.0)
     >>> ledger.totals['i-1']
     Load(in_flight=1, pending_tokens=300)
     >>> held = {'i-1': ReportedLoad(Load(1, 300))}
@@ -117,7 +117,7 @@
             self.take_back(known.given.popleft())
         return True
 
-    def give(
+    def reserve(
         self,
         name: str,
         instance: str,
