--- a/godwitshunt/picking/upstreams.py
+++ b/godwitshunt/picking/upstreams.py
@@ -104,7 +104,7 @@
             if instance not in present and not health.in_flight:
                 self.health.pop(instance)
         for detector in self.outliers.values():
-            detector.forget(present.keys())
+            detector.remove_absent(present.keys())
 
 
 def of_service(view: RegistryView, service: str) -> Iterator[UpstreamSeen]:
--- a/godwitshunt/routing/router.py
+++ b/godwitshunt/routing/router.py
@@ -145,4 +145,4 @@
             service: frozenset(names) for service, names in serving.items()
         }
         for service, detector in self.services.items():
-            detector.forget(self.serving.get(service, frozenset()))
+            detector.remove_absent(self.serving.get(service, frozenset()))
--- a/godwitshunt/routing/tests/test_overload.py
+++ b/godwitshunt/routing/tests/test_overload.py
@@ -195,7 +195,7 @@
         found.record_sent('e2')
         found.record('e2', FAST, NAMES, later)
     assert not found.is_ejected('e2')
-    found.forget(('e1',))
+    found.remove_absent(('e1',))
     assert set(found.states) == {'e1'}
 
 
