--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -150,7 +150,7 @@
         """Follow which VMs and upstreams there are."""
         view = self.context.watch.view()
         now_s = self.context.timer.now()
-        self.context.neighbours.hear(view.entries, now_s)
+        self.context.neighbours.record_entries(view.entries, now_s)
         self.context.neighbours.round_trips = self.context.watch.round_trips()
         self.context.upstreams.forget(view.upstreams)
         self.context.pool.forget(view.upstreams)
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -75,7 +75,7 @@
     task.context = SimpleNamespace(
         watch=SimpleNamespace(view=lambda: view, round_trips=dict),
         timer=SimpleNamespace(now=lambda: NOW_S),
-        neighbours=SimpleNamespace(hear=lambda entries, now_s: None),
+        neighbours=SimpleNamespace(record_entries=lambda entries, now_s: None),
         upstreams=SimpleNamespace(forget=lambda present: None),
         budgets=SimpleNamespace(cold=forgets),
         pool=forgets,
--- a/godwitshunt/picking/neighbours.py
+++ b/godwitshunt/picking/neighbours.py
@@ -36,7 +36,9 @@
         """Return the seconds to another region and back."""
         return self.round_trips.get(region, UNKNOWN_ROUND_TRIP_S)
 
-    def hear(self, entries: Mapping[str, EntryRecord], now_s: float) -> None:
+    def record_entries(
+        self, entries: Mapping[str, EntryRecord], now_s: float
+    ) -> None:
         """Note the entry VMs that control tells of now."""
         for name, entry in entries.items():
             self.seen[name] = (entry.region, now_s)
