--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -297,7 +297,7 @@
             case SendHere(upstream=upstream, unread_tokens=tokens):
                 instance = upstream.told.incarnation
                 self.note_prompt(question.demand, instance, now_s)
-                number = self.ledger.give(
+                number = self.ledger.reserve(
                     question.entry,
                     instance,
                     tokens,
--- a/godwitshunt/registry/tests/test_ledger.py
+++ b/godwitshunt/registry/tests/test_ledger.py
@@ -27,16 +27,16 @@
 def test_two_that_ask_at_once_are_not_given_the_same_slot():
     """Neither report can hold the other's place yet."""
     ledger = LoadLedger()
-    ledger.give('e-1', 'i-1', 0, now_s=1.0)
+    ledger.reserve('e-1', 'i-1', 0, now_s=1.0)
     assert ledger.total('i-1') == Load(1)
-    ledger.give('e-2', 'i-1', 0, now_s=1.0)
+    ledger.reserve('e-2', 'i-1', 0, now_s=1.0)
     assert ledger.total('i-1') == Load(2)
 
 
 def test_a_place_counts_once_when_it_is_reported():
     """The report was made after the place came, and holds it."""
     ledger = LoadLedger()
-    number = ledger.give('e-1', 'i-1', 0, now_s=1.0)
+    number = ledger.reserve('e-1', 'i-1', 0, now_s=1.0)
     ledger.report('e-1', report(1, {'i-1': 1}, taken=number))
     assert ledger.total('i-1') == Load(1)
 
@@ -48,7 +48,7 @@
     """
     ledger = LoadLedger()
     ledger.report('e-1', report(1, {}))
-    ledger.give('e-1', 'i-1', 0, now_s=1.0)
+    ledger.reserve('e-1', 'i-1', 0, now_s=1.0)
     ledger.report('e-1', report(2, {}))
     assert ledger.total('i-1') == Load(1)
 
@@ -56,7 +56,7 @@
 def test_a_place_that_nobody_took_is_free_again():
     """The answer was lost, or came after its asker had gone elsewhere."""
     ledger = LoadLedger()
-    ledger.give('e-1', 'i-1', 0, now_s=1.0)
+    ledger.reserve('e-1', 'i-1', 0, now_s=1.0)
     assert not ledger.tick(1.0 + GIVEN_EXPIRES_S)
     expired = ledger.tick(1.1 + GIVEN_EXPIRES_S)
     assert [one.instance for one in expired] == ['i-1']
@@ -67,7 +67,7 @@
     """Its process ended with all of its requests; its count begins again."""
     ledger = LoadLedger()
     ledger.report('e-1', report(90, {'i-1': 7}))
-    ledger.give('e-1', 'i-1', 0, now_s=1.0)
+    ledger.reserve('e-1', 'i-1', 0, now_s=1.0)
     assert ledger.report('e-1', report(1, {'i-2': 1}, session='t'))
     assert ledger.totals == {'i-2': Load(1)}
 
@@ -138,7 +138,7 @@
     def ask(self, entry, instance, *, arrives=True):
         """Let an entry VM ask for a place; the answer may be lost."""
         self.tell(entry)
-        number = self.ledger.give(entry, instance, 0, now_s=0.0)
+        number = self.ledger.reserve(entry, instance, 0, now_s=0.0)
         if arrives:
             self.taken[entry] = number
             self.running[entry][instance] += 1
