--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -266,7 +266,7 @@
                 other = int(name)
                 here, there = region_of(vm), region_of(other)
                 if self.trouble.hears(here, there, now_s):
-                    news = one.compose(name, now_s)
+                    news = one.compose_update(name, now_s)
                     self.limits[other].receive(str(vm), news, now_s)
 
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -95,7 +95,7 @@
         for vm in self.members:
             plan = LimitPlan.from_revision(self.revision, vm.name)
             made = CallerLimits.from_config(plan.quotas, len(self.limits))
-            made.configure(plan.quotas, plan.lenders)
+            made.configure(plan.quotas, plan.grantors)
             self.limits[vm.name] = made
         self.sent_bytes = 0
         self.limited = 0
@@ -135,7 +135,7 @@
         for name, limits in self.limits.items():
             limits.forget(now)
             for peer in limits.peers_to_tell(now):
-                news = limits.compose(peer, now)
+                news = limits.compose_update(peer, now)
                 self.sent_bytes += len(encode(news_struct(news)))
                 self.sent_bytes += ENVELOPE_BYTES
                 receiver = self.limits.get(peer)
--- a/godwitshunt/routing/limits.py
+++ b/godwitshunt/routing/limits.py
@@ -134,7 +134,7 @@
         The VM's own part of each caller's limit.
     incarnation : int
         Random number of this process.
-    lenders : mapping of str to frozenset of str, or None
+    grantors : mapping of str to frozenset of str, or None
         Peers to ask for a caller's loans; None asks whoever is told.
 
     Notes
@@ -148,7 +148,7 @@
 
     quotas: Mapping[str, CallerQuota]
     incarnation: int = 0
-    lenders: Mapping[str, frozenset[str]] | None = None
+    grantors: Mapping[str, frozenset[str]] | None = None
     buckets: dict[str, Bucket] = field(default_factory=dict)
     meters: dict[str, DemandMeter] = field(default_factory=dict)
     loans: dict[tuple[str, str], Loan] = field(default_factory=dict)
@@ -166,11 +166,11 @@
     def configure(
         self,
         quotas: Mapping[str, CallerQuota],
-        lenders: Mapping[str, frozenset[str]] | None = None,
+        grantors: Mapping[str, frozenset[str]] | None = None,
     ) -> None:
         """Take the quotas of a newer manifest or set of VMs."""
         self.quotas = quotas
-        self.lenders = lenders
+        self.grantors = grantors
         for table in (self.buckets, self.meters):
             for caller in tuple(table):
                 if caller not in quotas:
@@ -239,7 +239,7 @@
                 burst = self.quotas[caller].burst
                 bucket.settle(self.rate(caller, now), burst, now)
 
-    def compose(self, peer: str, now: float) -> LimitNews:
+    def compose_update(self, peer: str, now: float) -> LimitNews:
         """Return the message for a peer, lending it what it may use."""
         known = self.peers.get(peer)
         return LimitNews(
@@ -256,20 +256,20 @@
             for name, peer in self.peers.items()
             if peer.unmet and now - peer.heard_s <= LOAN_S
         ]
-        lenders = self.lenders or {}
+        grantors = self.grantors or {}
         for caller in self.unmet(now):
-            asked.extend(lenders.get(caller, ()))
+            asked.extend(grantors.get(caller, ()))
         return frozenset(asked)
 
     def unmet_for(self, peer: str, now: float) -> dict[str, float]:
         """Return the unmet demand that a peer is asked for."""
         wanted = self.unmet(now)
-        if self.lenders is None:
+        if self.grantors is None:
             return wanted
         return {
             caller: missing
             for caller, missing in wanted.items()
-            if peer in self.lenders.get(caller, ())
+            if peer in self.grantors.get(caller, ())
         }
 
     def unmet(self, now: float) -> dict[str, float]:
--- a/godwitshunt/routing/limits_task.py
+++ b/godwitshunt/routing/limits_task.py
@@ -83,7 +83,7 @@
         self.vms = {vm.name: vm for vm in entry_vms(revision.vms)}
         if self.divided is None or limits_differ(self.divided, revision):
             plan = LimitPlan.from_revision(revision, self.settings.name)
-            self.limits.configure(plan.quotas, plan.lenders)
+            self.limits.configure(plan.quotas, plan.grantors)
         self.divided = revision
 
     def admit(self, caller: str) -> Admission:
@@ -100,7 +100,7 @@
         for name in sorted(self.limits.peers_to_tell(now)):
             vm = self.vms.get(name)
             if vm is not None:
-                news = self.limits.compose(name, now)
+                news = self.limits.compose_update(name, now)
                 body = encode(news_struct(news))
                 self.links.tell(vm.peer, MessageKind.limit_gossip, body)
 
--- a/godwitshunt/routing/quotas.py
+++ b/godwitshunt/routing/quotas.py
@@ -34,13 +34,13 @@
     ----------
     quotas : dict of str to CallerQuota
         By caller; quotas of all VMs add up to the caller's rate.
-    lenders : dict of str to frozenset of str
+    grantors : dict of str to frozenset of str
         Names of the VMs to ask, by caller. There are few, so that messages
         grow with the callers that need more and not with the VMs.
     """
 
     quotas: dict[str, CallerQuota]
-    lenders: dict[str, frozenset[str]]
+    grantors: dict[str, frozenset[str]]
 
     @classmethod
     def from_revision(cls, revision: Revision, name: str) -> Self:
@@ -50,7 +50,7 @@
         if own is None:
             return cls({}, {})
         quotas = {}
-        lenders = {}
+        grantors = {}
         for caller in revision.manifest.callers:
             key = name_hash(caller.name)
             ranked = rank_names(key, regions[own.region])
@@ -62,8 +62,8 @@
             )
             asked = set(ranked[:LENDERS_HERE])
             asked.update(lenders_elsewhere(caller, key, own.region, regions))
-            lenders[caller.name] = frozenset(asked - {name})
-        return cls(quotas, lenders)
+            grantors[caller.name] = frozenset(asked - {name})
+        return cls(quotas, grantors)
 
 
 def lenders_elsewhere(
--- a/godwitshunt/routing/tests/test_limits.py
+++ b/godwitshunt/routing/tests/test_limits.py
@@ -72,7 +72,7 @@
         own_now = now + CLOCK_GAP_S * number
         self.vms[number].forget(own_now)
         for other, _ in enumerate(self.vms):
-            news = self.vms[number].compose(str(other), own_now)
+            news = self.vms[number].compose_update(str(other), own_now)
             if other != number and self.chance.random() >= self.lost:
                 self.put(number, other, read_news(news_struct(news)), now)
 
@@ -149,8 +149,8 @@
     lender, former = make_vms(2)
     for number in range(100):
         former.admit('ward', number * 0.01)
-    lender.receive('1', former.compose('0', 1.0), 1.0)
-    reply = lender.compose('1', 1.0)
+    lender.receive('1', former.compose_update('0', 1.0), 1.0)
+    reply = lender.compose_update('1', 1.0)
     assert reply.lent
     restarted = CallerLimits.from_config(former.quotas, incarnation=9)
     restarted.receive('0', reply, 1.1)
@@ -215,8 +215,8 @@
     rates = [plan.quotas['ward'].rate_per_s for plan in plans.values()]
     assert sum(rates) == pytest.approx(RATE)
     for name, plan in plans.items():
-        assert name not in plan.lenders['ward']
-        assert len(plan.lenders['ward']) <= 5
+        assert name not in plan.grantors['ward']
+        assert len(plan.grantors['ward']) <= 5
     first = order_entries(revision.vms, 'a', 'ward')[0]
     assert plans[first.name].quotas['ward'].rate_per_s == max(
         plan.quotas['ward'].rate_per_s
