--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -40,7 +40,7 @@
     made = UpstreamAttempt(None, attempt, outcome, None, 0.1)
     shown = AttemptShown('i-1', 'llm', made.shown)
     learned = learner(in_flight)
-    learned.learn(shown, SERVICE, now_s=1.0)
+    learned.record(shown, SERVICE, now_s=1.0)
     detector = learned.upstreams.outliers.get('llm')
     return detector is not None and detector.states['i-1'].failures > 0
 
@@ -94,7 +94,7 @@
         unread_tokens=8000,
         **changes,
     )
-    learned.learn(made, SERVICE, now_s=1.0)
+    learned.record(made, SERVICE, now_s=1.0)
     assert (speed.token_s < before_s) is learns
 
 
@@ -121,7 +121,7 @@
     )
     context = SimpleNamespace(
         timer=SimpleNamespace(now=lambda: 1.0),
-        learner=SimpleNamespace(learn=lambda shown, service, now_s: None),
+        learner=SimpleNamespace(record=lambda shown, service, now_s: None),
         picker=SimpleNamespace(report_attempt=announcement.append),
         quarantine=SimpleNamespace(knows_length=lambda length: False),
     )
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -95,7 +95,7 @@
     upstreams = Upstreams()
     learner = Learner(upstreams, RegistryView, lambda incarnation: None)
     if made.shown is not None:
-        learner.learn(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
+        learner.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
     health = upstreams.of('i-1')
     missed = (health.unreached_s, health.down_until_s)
     assert (missed == (NOW_S, NOW_S + DOWN_S)) is not connected
@@ -108,5 +108,5 @@
     outcome = NotRun('status 421', arrived=True)
     made = UpstreamAttempt(None, attempt, outcome, None, 0.1)
     learner = Learner(Upstreams(), RegistryView, left.append)
-    learner.learn(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
+    learner.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
     assert left == ['i-1']
--- a/godwitshunt/picking/learner.py
+++ b/godwitshunt/picking/learner.py
@@ -35,7 +35,9 @@
     view: Callable[[], RegistryView]
     leave: Callable[[str], None]
 
-    def learn(self, made: AttemptShown, service: Service, now_s: float) -> None:
+    def record(
+        self, made: AttemptShown, service: Service, now_s: float
+    ) -> None:
         """Learn from one attempt."""
         health = self.upstreams.of(made.instance)
         match made.shown:
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -135,7 +135,7 @@
         self.started_s = self.timer.now()
         self.links.subscribe(MessageKind.place_ask, self.on_ask)
         self.links.subscribe(MessageKind.load_report, self.on_report)
-        self.registry.subscribe(self.learn)
+        self.registry.subscribe(self.record)
         self.subscription = self.timer.every(TICK_S, self.tick)
         self.timer.after(LEARNS_S, partial(self.begin, 'what runs is known'))
 
@@ -189,7 +189,7 @@
         """Take an entry VM's requests, and what its attempts showed."""
         self.registry.apply_report(sender, decode(ttypes.LoadReport, body))
 
-    def learn(
+    def record(
         self,
         name: str,
         told: ttypes.LoadReport,
@@ -203,7 +203,7 @@
         for made in shown_from_wire(told.shown):
             service = revision and service_of(revision, made.service)
             if service:
-                self.learner.learn(made, service, now_s)
+                self.learner.record(made, service, now_s)
 
     def note_waits(self, name: str, report: Report) -> None:
         """Note which upstreams have shown an entry VM nothing for how long."""
