--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -47,7 +47,7 @@
         upstreams=upstreams,
         neighbours=picker.neighbours,
         chooser=chooser,
-        learner=Learner(upstreams, watch.view, watch.leave),
+        learner=Learner(upstreams, watch.view, watch.mark_replaced),
         picker=picker,
         budgets=make_budgets(settings, timer.now()),
         witness=CrashWitness(watch.quarantine, timer, source),
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -114,7 +114,7 @@
         self.learner = Learner(
             self.picker.upstreams,
             registry.view,
-            registry.leave,
+            registry.mark_replaced,
         )
 
     @classmethod
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -237,7 +237,7 @@
 
     def leave(self, incarnation: str) -> None:
         """Note that an incarnation is no longer at its address."""
-        self.tables.leave(incarnation)
+        self.tables.mark_replaced(incarnation)
 
     def tick(self) -> None:
         """Note who has fallen silent."""
