--- a/godwitshunt/picking/reports.py
+++ b/godwitshunt/picking/reports.py
@@ -92,7 +92,7 @@
             now_s,
         )
         self.prefixes_told = self.prefixes.version
-        news = self.suspects.news(self.suspects_told)
-        made.suspects = suspects_to_wire(news.records, now_s)
-        self.suspects_told = news.version
+        delta = self.suspects.delta(self.suspects_told)
+        made.suspects = suspects_to_wire(delta.records, now_s)
+        self.suspects_told = delta.version
         return made
--- a/godwitshunt/quarantine/table.py
+++ b/godwitshunt/quarantine/table.py
@@ -171,7 +171,7 @@
             and (len(one.losses) >= least_losses or one.clearances)
         )
 
-    def news(self, version: int, least_losses: int = 0) -> SuspectUpdate:
+    def delta(self, version: int, least_losses: int = 0) -> SuspectUpdate:
         """Return what one message tells of the records after a version."""
         if version >= self.version:
             return SuspectUpdate((), self.version)
--- a/godwitshunt/quarantine/tests/test_joining.py
+++ b/godwitshunt/quarantine/tests/test_joining.py
@@ -101,10 +101,10 @@
         table.record_loss(LostRequest(name, '', 5, Loss('i-1', 1.0, 0.1)))
     version, rounds = 0, 0
     while version < table.version:
-        news = table.news(version)
-        assert len(news.records) <= 256
-        heard.join(news.records)
-        version = news.version
+        delta = table.delta(version)
+        assert len(delta.records) <= 256
+        heard.join(delta.records)
+        version = delta.version
         rounds += 1
     assert rounds == 3
     assert heard.records.keys() == table.records.keys()
--- a/godwitshunt/quarantine/tests/test_machine.py
+++ b/godwitshunt/quarantine/tests/test_machine.py
@@ -80,12 +80,12 @@
     def tell(self, teller, hearer):
         """Let one process hear what is new at another one."""
         held = self.heard.get((teller, hearer), 0)
-        news = self.quarantines[teller].table.news(held)
-        told = suspects_to_wire(news.records, self.now_s)
+        delta = self.quarantines[teller].table.delta(held)
+        told = suspects_to_wire(delta.records, self.now_s)
         self.now_s += WAY_S
         records = suspects_from_wire(told, self.now_s)
         self.quarantines[hearer].join(records)
-        self.heard[teller, hearer] = news.version
+        self.heard[teller, hearer] = delta.version
 
     @rule(process=processes)
     def restart(self, process):
