--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -7,9 +7,9 @@
 from godwitshunt.ingress.context import Budgets, IngressContext
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
+from godwitshunt.picking.attempt_recorder import Learner
 from godwitshunt.picking.choosing import Chooser
 from godwitshunt.picking.client import PickerClient
-from godwitshunt.picking.learner import Learner
 from godwitshunt.registry import RegistryWatch
 from godwitshunt.routing.cold_budget import ColdBounds, ColdBudget
 from godwitshunt.routing.retry_window import RetryBounds
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -11,12 +11,12 @@
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.organisations import Standing
+from godwitshunt.picking.attempt_recorder import Learner
 from godwitshunt.picking.choices import ChoiceRequest
 from godwitshunt.picking.choosing import (
     Chooser,
 )
 from godwitshunt.picking.client import PickerClient
-from godwitshunt.picking.learner import Learner
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.quarantine import Quarantine
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -10,7 +10,7 @@
 from godwitshunt.ingress.outcomes import NotRun
 from godwitshunt.ingress.sending import Sender
 from godwitshunt.ingress.task import IngressTask
-from godwitshunt.picking.learner import Learner
+from godwitshunt.picking.attempt_recorder import Learner
 from godwitshunt.picking.shown import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamAnnounced
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -8,6 +8,7 @@
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.organisations import LimitPool
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
+from godwitshunt.picking.attempt_recorder import Learner
 from godwitshunt.picking.choices import (
     HandOver,
     Limited,
@@ -16,7 +17,6 @@
     describe_candidate,
 )
 from godwitshunt.picking.handed import HandedLoads
-from godwitshunt.picking.learner import Learner
 from godwitshunt.picking.limits import PickerLimits
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.picker import (
