--- a/godwitshunt/routing/outliers.py
+++ b/godwitshunt/routing/outliers.py
@@ -217,7 +217,7 @@
         state = self.states.get(upstream)
         return state is not None and state.probing
 
-    def forget(self, present: Collection[str]) -> None:
+    def remove_absent(self, present: Collection[str]) -> None:
         """Drop upstreams that are gone."""
         for name in tuple(self.states):
             if name not in present:
