--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -347,7 +347,7 @@
         if version is None or version < 0:
             return SuspectUpdate((), None)
         least = 0 if poll.from_control else SUSPECTED_CRASHES
-        return self.quarantine.table.news(version, least)
+        return self.quarantine.table.delta(version, least)
 
     def own_news(
         self,
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -321,7 +321,7 @@
             own.record,
             own.report(contact.source),
             self.own_prefixes.since(contact.prefixes_told),
-            self.quarantine.own.news(contact.suspects_told).records,
+            self.quarantine.own.delta(contact.suspects_told).records,
             chooses=self.contacts.picker(known, now_s) is None,
         )
         return question_to_first(contact, self.joined, told, now_s)
@@ -374,7 +374,7 @@
         """
         told = self.contacts.of(control).suspects_told
         if control == self.first():
-            told = self.quarantine.own.news(told).version
+            told = self.quarantine.own.delta(told).version
         return OwnVersion(self.own_prefixes.version, told)
 
     def first(self) -> str | None:
