--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -253,7 +253,7 @@
         due = self.contacts.to_ask(self.known_control(), now_s, self.period_s())
         for address in self.control():
             if str(address) in due:
-                self.begin(address)
+                self.start_poll(address)
 
     @property
     def is_young(self) -> bool:
@@ -263,13 +263,13 @@
     def poll_all(self) -> None:
         """Ask every control VM that is not being asked."""
         for address in self.control():
-            self.begin(address)
+            self.start_poll(address)
 
-    def tell(self) -> None:
+    def report_now(self) -> None:
         """Tell the first control VM at once what is new of this VM."""
         first = self.first()
         if first is not None:
-            self.begin(self.address_of(first))
+            self.start_poll(self.address_of(first))
 
     def period_s(self) -> float:
         """Return how often the first control VM is asked, at most."""
@@ -304,9 +304,9 @@
         """Ask a control VM that never answered again, soon."""
         never = not self.contacts.of(str(address)).source
         if never and self.is_young and self.subscription is not None:
-            self.timer.after(FIRST_RETRY_S, partial(self.begin, address))
+            self.timer.after(FIRST_RETRY_S, partial(self.start_poll, address))
 
-    def begin(self, address: Address) -> None:
+    def start_poll(self, address: Address) -> None:
         """Ask one control VM unless it is being asked."""
         self.background.run(str(address), partial(self.poll, address))
 
@@ -386,7 +386,7 @@
         first = self.first()
         if first not in {None, before}:
             address = self.address_of(first)
-            self.timer.after(0, partial(self.begin, address))
+            self.timer.after(0, partial(self.start_poll, address))
 
     def take_table(
         self,
