--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -14,8 +14,8 @@
     Streamed,
 )
 from godwitshunt.ingress.requests import RoutedRequest
+from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.choices import HandOver, SendHere
-from godwitshunt.picking.shown import AttemptShown, Shown
 from godwitshunt.registry import UpstreamAnnounced
 from godwitshunt.telemetry import log_change
 
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -7,7 +7,7 @@
 from godwitshunt.ingress.learning import Lessons, UpstreamAttempt
 from godwitshunt.ingress.outcomes import Lost, NotRun, Streamed
 from godwitshunt.picking.attempt_recorder import Learner
-from godwitshunt.picking.shown import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing.upstream_health import UpstreamHealth
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -11,7 +11,7 @@
 from godwitshunt.ingress.sending import Sender
 from godwitshunt.ingress.task import IngressTask
 from godwitshunt.picking.attempt_recorder import Learner
-from godwitshunt.picking.shown import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamAnnounced
 from godwitshunt.routing.upstream_health import DOWN_S
--- a/godwitshunt/picking/attempt_recorder.py
+++ b/godwitshunt/picking/attempt_recorder.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from godwitshunt.manifest import Service
-from godwitshunt.picking.shown import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams, of_service
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing import outliers
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -4,11 +4,11 @@
 
 from godwitshunt.exceptions import FrameError
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
+from godwitshunt.picking.attempt_reports import AttemptShown
 from godwitshunt.picking.choices import Choice
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.picker import DestinationRequest
 from godwitshunt.picking.reports import ReportBuilder
-from godwitshunt.picking.shown import AttemptShown
 from godwitshunt.picking.wire import choice_from_wire, question_to_wire
 from godwitshunt.registry import RegistryWatch
 from godwitshunt.registry.gen.wire import ttypes
--- a/godwitshunt/picking/reports.py
+++ b/godwitshunt/picking/reports.py
@@ -6,7 +6,7 @@
 
 from godwitshunt.manifest import Manifest
 from godwitshunt.organisations import LimitPool, limits_of
-from godwitshunt.picking.shown import AttemptShown, shown_to_wire
+from godwitshunt.picking.attempt_reports import AttemptShown, shown_to_wire
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.quarantine import SuspectTable
 from godwitshunt.registry.gen.wire import ttypes
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -9,6 +9,7 @@
 from godwitshunt.organisations import LimitPool
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_reports import shown_from_wire
 from godwitshunt.picking.choices import (
     HandOver,
     Limited,
@@ -28,7 +29,6 @@
     service_of,
 )
 from godwitshunt.picking.routes import RouteTable
-from godwitshunt.picking.shown import shown_from_wire
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.picking.wire import given_to_wire, question_from_wire
 from godwitshunt.registry import RegistryService
