--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -17,7 +17,7 @@
 from godwitshunt.peer import encode
 from godwitshunt.routing import LimitPlan, order_entries
 from godwitshunt.routing.limits import CallerLimits
-from godwitshunt.routing.limits_task import news_struct
+from godwitshunt.routing.limits_task import update_to_wire
 from godwitshunt.settings import Address
 
 MILLISECONDS = 1000
@@ -134,9 +134,9 @@
         """Let every VM send its messages."""
         for name, limits in self.limits.items():
             limits.forget(now)
-            for peer in limits.peers_to_tell(now):
+            for peer in limits.peers_to_notify(now):
                 news = limits.compose_update(peer, now)
-                self.sent_bytes += len(encode(news_struct(news)))
+                self.sent_bytes += len(encode(update_to_wire(news)))
                 self.sent_bytes += ENVELOPE_BYTES
                 receiver = self.limits.get(peer)
                 if receiver is not None:
--- a/benchmarks/sheet_engine.py
+++ b/benchmarks/sheet_engine.py
@@ -17,7 +17,7 @@
     """What an engine takes, in seconds and tokens.
 
     The figures are those of Pallikkara's sheet. That each token is compared
-    with all before it is not on the sheet: see `TOKENS_A_PAIR` in the product.
+    with all before it is not on the sheet: see `PAIR_TOKENS` in the product.
 
     Parameters
     ----------
--- a/godwitshunt/ingress/prompts.py
+++ b/godwitshunt/ingress/prompts.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Self
 
-from godwitshunt.routing.selection import LEAST_SHARED_TOKENS
+from godwitshunt.routing.selection import MIN_SHARED_TOKENS
 
 MAX_PARTS = 256
 
@@ -80,7 +80,7 @@
     @property
     def worth_keeping(self) -> bool:
         """True where shared parts are long enough to go to their holder."""
-        return self.shared_tokens >= LEAST_SHARED_TOKENS
+        return self.shared_tokens >= MIN_SHARED_TOKENS
 
     @property
     def own_key(self) -> int | None:
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -14,7 +14,7 @@
 from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamAnnounced
-from godwitshunt.routing.upstream_health import DOWN_S
+from godwitshunt.routing.upstream_health import CONNECT_BACKOFF_S
 from godwitshunt.settings import Address
 
 NOW_S = 50.0
@@ -97,8 +97,8 @@
     if made.shown is not None:
         learner.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
     health = upstreams.of('i-1')
-    missed = (health.unreached_s, health.down_until_s)
-    assert (missed == (NOW_S, NOW_S + DOWN_S)) is not connected
+    missed = (health.connect_failed_s, health.down_until_s)
+    assert (missed == (NOW_S, NOW_S + CONNECT_BACKOFF_S)) is not connected
 
 
 def test_another_upstream_at_the_address_is_told():
--- a/godwitshunt/picking/choices.py
+++ b/godwitshunt/picking/choices.py
@@ -4,7 +4,7 @@
 
 from godwitshunt.manifest import Route, Service
 from godwitshunt.registry import EntryRecord, UpstreamSeen
-from godwitshunt.routing.selection import Demand, Ranked
+from godwitshunt.routing.selection import Demand, RankedCandidate
 
 # Engines that more urgent requests may not use have time to read prompts and
 # hold up nobody; they own more of the shared parts. Bounded, since what they
@@ -66,7 +66,7 @@
     upstream: UpstreamSeen
     predicted_s: float
     is_cold: bool
-    ranked: tuple[Ranked, ...] = ()
+    ranked: tuple[RankedCandidate, ...] = ()
     unread_tokens: int = 0
     is_cached: bool = False
     waiting_tokens: float = 0.0
@@ -79,15 +79,15 @@
 
     Parameters
     ----------
-    likely : Ranked or None
+    likely : RankedCandidate or None
         The upstream there that speaks for it; None where another process
         chose.
     """
 
     entry: EntryRecord
     predicted_s: float
-    ranked: tuple[Ranked, ...] = ()
-    likely: Ranked | None = None
+    ranked: tuple[RankedCandidate, ...] = ()
+    likely: RankedCandidate | None = None
 
 
 @dataclass(frozen=True)
@@ -108,7 +108,7 @@
 
     overloaded: bool
     retry_after_s: float
-    ranked: tuple[Ranked, ...] = ()
+    ranked: tuple[RankedCandidate, ...] = ()
     chosen_by_picker: bool = False
     exclusions: tuple[str, ...] = ()
 
@@ -124,13 +124,13 @@
     """
 
     retry_after_s: float
-    ranked: tuple[Ranked, ...] = ()
+    ranked: tuple[RankedCandidate, ...] = ()
 
 
 Choice = SendHere | HandOver | NoPlace | Limited
 
 
-def describe_candidate(ranked: Ranked) -> str:
+def describe_candidate(ranked: RankedCandidate) -> str:
     """Return a candidate: name, region, prediction, cost and load."""
     one = ranked.candidate
     kept = '/kept' if one.cached else ''
--- a/godwitshunt/picking/choosing.py
+++ b/godwitshunt/picking/choosing.py
@@ -23,9 +23,9 @@
 )
 from godwitshunt.routing.hashing import name_hash, rank_weight
 from godwitshunt.routing.selection import (
-    NEAR_S,
+    NEAR_BEST_S,
     Candidate,
-    Ranked,
+    RankedCandidate,
     near_best,
     rank,
 )
@@ -73,7 +73,7 @@
     neighbours: Neighbours
     random: Random
     away_s: float = 0.0
-    near_s: float = NEAR_S
+    near_s: float = NEAR_BEST_S
 
     def __post_init__(self) -> None:
         self.filter = UpstreamFilter(self.region, self.upstreams)
@@ -112,10 +112,10 @@
 
     def go(
         self,
-        chosen: Ranked,
+        chosen: RankedCandidate,
         ask: ChoiceRequest,
         view: RegistryView,
-        ranked: tuple[Ranked, ...],
+        ranked: tuple[RankedCandidate, ...],
     ) -> Choice:
         """Return the way to a chosen upstream."""
         candidate = chosen.candidate
@@ -315,6 +315,6 @@
         worse_s += COLD_PENALTY_S
     if upstream.silent and now_s - health.last_seen_s > MUTE_AFTER_S:
         worse_s += SILENT_PENALTY_S
-    if health.mute_s(now_s) > MUTE_AFTER_S:
+    if health.unresponsive_s(now_s) > MUTE_AFTER_S:
         worse_s += MUTE_PENALTY_S
     return worse_s
--- a/godwitshunt/picking/filters.py
+++ b/godwitshunt/picking/filters.py
@@ -53,7 +53,7 @@
         if cold is None:
             return False
         health = self.upstreams.of(upstream.told.incarnation)
-        return ask.now_s - health.unreached_s < cold.duration_s
+        return ask.now_s - health.connect_failed_s < cold.duration_s
 
     def refusal(
         self,
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -34,7 +34,7 @@
 from godwitshunt.registry.ledger import LoadLedger, SummedLoads
 from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.routing.cold_budget import ColdBudget
-from godwitshunt.routing.selection import LEAST_SHARED_TOKENS, Demand
+from godwitshunt.routing.selection import MIN_SHARED_TOKENS, Demand
 
 # Of the pickers that a region may have, the first by name gives this part of
 # what cold upstreams may get, and the others share the rest: for a moment some
@@ -320,7 +320,7 @@
         The next request with the same parts comes while they are still read;
         sent elsewhere, they would be read twice.
         """
-        if demand.shared_tokens >= LEAST_SHARED_TOKENS:
+        if demand.shared_tokens >= MIN_SHARED_TOKENS:
             read = CachedPrefix(demand.shared_key, instance, now_s)
             self.prefixes.note(read)
 
--- a/godwitshunt/routing/limits.py
+++ b/godwitshunt/routing/limits.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class LimitNews:
+class LimitUpdate:
     """What one VM tells one peer.
 
     Parameters
@@ -214,7 +214,7 @@
         )
         return max(0.0, quota - lent)
 
-    def receive(self, peer: str, news: LimitNews, now: float) -> None:
+    def receive(self, peer: str, news: LimitUpdate, now: float) -> None:
         """Take a peer's message; one that is older than the last is ignored."""
         known = self.peers.get(peer)
         if known is not None and is_older(news.stamp, known.stamp):
@@ -239,17 +239,17 @@
                 burst = self.quotas[caller].burst
                 bucket.settle(self.rate(caller, now), burst, now)
 
-    def compose_update(self, peer: str, now: float) -> LimitNews:
+    def compose_update(self, peer: str, now: float) -> LimitUpdate:
         """Return the message for a peer, lending it what it may use."""
         known = self.peers.get(peer)
-        return LimitNews(
+        return LimitUpdate(
             stamp=Stamp(self.incarnation, now),
             echo=None if known is None else known.stamp,
             unmet=self.unmet_for(peer, now),
             lent=self.lend(peer, now),
         )
 
-    def peers_to_tell(self, now: float) -> frozenset[str]:
+    def peers_to_notify(self, now: float) -> frozenset[str]:
         """Return peers to ask for loans, and those that asked lately."""
         asked = [
             name
--- a/godwitshunt/routing/limits_task.py
+++ b/godwitshunt/routing/limits_task.py
@@ -13,7 +13,7 @@
     Admission,
     CallerLimits,
     Limited,
-    LimitNews,
+    LimitUpdate,
     Stamp,
 )
 from godwitshunt.routing.quotas import LimitPlan, entry_vms
@@ -97,11 +97,11 @@
         """Ask for loans, and lend to peers that asked."""
         now = self.timer.now()
         self.limits.forget(now)
-        for name in sorted(self.limits.peers_to_tell(now)):
+        for name in sorted(self.limits.peers_to_notify(now)):
             vm = self.vms.get(name)
             if vm is not None:
                 news = self.limits.compose_update(name, now)
-                body = encode(news_struct(news))
+                body = encode(update_to_wire(news))
                 self.links.tell(vm.peer, MessageKind.limit_gossip, body)
 
     async def receive(self, sender: str, body: bytes) -> None:
@@ -121,7 +121,7 @@
     return not same_callers or before.vms != after.vms
 
 
-def news_struct(news: LimitNews) -> LimitGossip:
+def update_to_wire(news: LimitUpdate) -> LimitGossip:
     """Return the thrift struct of a message."""
     echo = news.echo or Stamp(0, 0.0)
     return LimitGossip(
@@ -134,9 +134,9 @@
     )
 
 
-def read_news(wire: LimitGossip) -> LimitNews:
+def read_news(wire: LimitGossip) -> LimitUpdate:
     """Return the message of a thrift struct; absent fields mean nothing."""
-    return LimitNews(
+    return LimitUpdate(
         stamp=Stamp(wire.incarnation or 0, wire.stamp_s or 0.0),
         echo=Stamp(wire.echo_incarnation or 0, wire.echo_stamp_s or 0.0),
         unmet=positive(wire.unmet_per_s),
--- a/godwitshunt/routing/selection.py
+++ b/godwitshunt/routing/selection.py
@@ -21,10 +21,10 @@
 
 # Prompt parts below this are read in a few milliseconds; bringing them to
 # their upstream would only concentrate load. In tokens.
-LEAST_SHARED_TOKENS = 1500
+MIN_SHARED_TOKENS = 1500
 # Candidates within this of the best are drawn from at random, or VMs that
 # decide on the same news would all choose the same one. In seconds.
-NEAR_S = 0.01
+NEAR_BEST_S = 0.01
 # Each request that an engine runs slows the others: a step takes longer with
 # each. By so many seconds a candidate is worse for each request in flight. With
 # three times as much, requests left engines that kept their prompts for emptier
@@ -59,7 +59,7 @@
 # Each token of a prompt is compared with all before it: so a prompt of n
 # tokens, k of them kept, takes as long as this times (n*n - k*k) tokens more.
 # From an engine that showed nothing for 1.6 s while it read 57,634 tokens.
-TOKENS_A_PAIR = 8.2e-6
+PAIR_TOKENS = 8.2e-6
 
 
 @dataclass(frozen=True)
@@ -127,12 +127,12 @@
         """
         shared = self.shared_tokens if kept else 0
         pairs = self.prompt_tokens**2 - shared**2
-        return self.prompt_tokens - shared + round(TOKENS_A_PAIR * pairs)
+        return self.prompt_tokens - shared + round(PAIR_TOKENS * pairs)
 
     @property
     def has_affinity(self) -> bool:
         """True where cached parts are worth a detour."""
-        is_long = self.shared_tokens >= LEAST_SHARED_TOKENS
+        is_long = self.shared_tokens >= MIN_SHARED_TOKENS
         return is_long and self.shared_key is not None
 
 
@@ -175,7 +175,7 @@
 
 
 @dataclass(frozen=True)
-class Ranked:
+class RankedCandidate:
     """A candidate with what speaks for it.
 
     Parameters
@@ -199,7 +199,7 @@
     candidates: Iterable[Candidate],
     demand: Demand,
     speed: ServiceSpeed,
-) -> list[Ranked]:
+) -> list[RankedCandidate]:
     """Return candidates, the best first."""
     listed = list(candidates)
     owner = owner_of(listed, demand)
@@ -212,7 +212,7 @@
     return ranked
 
 
-def has_spare_holder(ranked: list[Ranked], demand: Demand) -> bool:
+def has_spare_holder(ranked: list[RankedCandidate], demand: Demand) -> bool:
     """Tell whether one that keeps the parts is in time with room to spare."""
     limit_s = SPARE_SHARE * demand.objective_s
     return demand.has_affinity and any(
@@ -221,10 +221,10 @@
 
 
 def count_reading_again(
-    ranked: Ranked,
+    ranked: RankedCandidate,
     demand: Demand,
     speed: ServiceSpeed,
-) -> Ranked:
+) -> RankedCandidate:
     """Add to the cost what reading parts again costs others."""
     if ranked.candidate.cached:
         return ranked
@@ -277,7 +277,7 @@
     demand: Demand,
     speed: ServiceSpeed,
     owns: bool,
-) -> Ranked:
+) -> RankedCandidate:
     """Return a candidate with its prediction and its cost."""
     unread = demand.unread_tokens(kept=owns or candidate.cached)
     ahead = URGENT_WAIT_SHARE if demand.urgent else 1.0
@@ -295,10 +295,12 @@
     # That a busy one was faster than predicted is no reason to prefer it.
     early_s = min(0.0, candidate.delay_s)
     cost_s = predicted_s - early_s + crowd_s + candidate.penalty_s
-    return Ranked(candidate, predicted_s, cost_s, unread)
+    return RankedCandidate(candidate, predicted_s, cost_s, unread)
 
 
-def near_best(ranked: list[Ranked], near_s: float = NEAR_S) -> list[Ranked]:
+def near_best(
+    ranked: list[RankedCandidate], near_s: float = NEAR_BEST_S
+) -> list[RankedCandidate]:
     """Return those that are as good as the best, within some seconds."""
     limit_s = ranked[0].cost_s + near_s
     return [one for one in ranked if one.cost_s <= limit_s]
--- a/godwitshunt/routing/tests/test_limits.py
+++ b/godwitshunt/routing/tests/test_limits.py
@@ -16,8 +16,8 @@
 )
 from godwitshunt.routing.limits_task import (
     LimitsTask,
-    news_struct,
     read_news,
+    update_to_wire,
 )
 from godwitshunt.routing.quotas import LimitPlan
 from godwitshunt.routing.retry_budget import RESERVE_TRIES, RetryBudget
@@ -74,7 +74,7 @@
         for other, _ in enumerate(self.vms):
             news = self.vms[number].compose_update(str(other), own_now)
             if other != number and self.chance.random() >= self.lost:
-                self.put(number, other, read_news(news_struct(news)), now)
+                self.put(number, other, read_news(update_to_wire(news)), now)
 
     def put(self, number, other, news, now):
         due = now + self.chance.uniform(0, 2 * self.delay_s)
--- a/godwitshunt/routing/upstream_health.py
+++ b/godwitshunt/routing/upstream_health.py
@@ -8,7 +8,7 @@
 from godwitshunt.registry.records import Load
 
 # An upstream that refused a connection is left alone for so long.
-DOWN_S = 1.0
+CONNECT_BACKOFF_S = 1.0
 # One that refused a request as full gets no other for so long.
 FULL_BACKOFF_S = 0.15
 # Weight of one more answer in the moving average of delays, and the time in
@@ -40,7 +40,7 @@
         Prompt tokens of those that wait for their first event.
     last_seen_s : float
         When bytes last came from it.
-    unreached_s : float
+    connect_failed_s : float
         When a connection to it last failed: it may have started again since,
         and be cold before anybody has heard so.
     delay_s : float
@@ -57,7 +57,7 @@
     in_flight: int = 0
     pending_tokens: int = 0
     last_seen_s: float = float('-inf')
-    unreached_s: float = float('-inf')
+    connect_failed_s: float = float('-inf')
     down_until_s: float = float('-inf')
     full_until_s: float = float('-inf')
     delay_s: float = 0.0
@@ -91,10 +91,10 @@
 
     def record_connect_failure(self, now_s: float) -> None:
         """Note that a connection to it failed."""
-        self.unreached_s = now_s
-        self.down_until_s = now_s + DOWN_S
+        self.connect_failed_s = now_s
+        self.down_until_s = now_s + CONNECT_BACKOFF_S
 
-    def mute_s(self, now_s: float) -> float:
+    def unresponsive_s(self, now_s: float) -> float:
         """Return how long it has shown nothing that was waited for.
 
         Zero where no request waits; else the time since the oldest waiting
