--- a/godwitshunt/quarantine/records.py
+++ b/godwitshunt/quarantine/records.py
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    place : str
+    incarnation : str
         The incarnation of an upstream, or the process of an entry VM.
     at_s : float
         When it was lost.
@@ -38,7 +38,7 @@
         Seconds for which it had the request.
     """
 
-    place: str
+    incarnation: str
     at_s: float
     exposure_s: float
 
@@ -101,14 +101,14 @@
         it on makes it look younger by the way of the message; so a loss that
         goes around among them cannot live for ever.
         """
-        known = self.losses.get(loss.place)
+        known = self.losses.get(loss.incarnation)
         if known is not None and known.at_s <= loss.at_s + EARLIER_BY_S:
             return False
-        self.losses[loss.place] = loss
+        self.losses[loss.incarnation] = loss
         if len(self.losses) <= MOST_PLACES:
             return True
         oldest = min(self.losses.values(), key=moment)
-        self.losses.pop(oldest.place)
+        self.losses.pop(oldest.incarnation)
         return oldest is not loss
 
     def add_clearance(self, name: str, at_s: float) -> bool:
@@ -149,7 +149,7 @@
         counted_s = -inf
         for loss in self.held():
             is_new = loss.at_s - counted_s > SAME_MOMENT_S
-            if is_new and loss.place not in explained:
+            if is_new and loss.incarnation not in explained:
                 moments += 1
                 counted_s = loss.at_s
         return moments
@@ -165,8 +165,8 @@
     def forget(self, until_s: float) -> bool:
         """Drop what was until a moment; False where there was nothing."""
         losses = {
-            place: loss
-            for place, loss in self.losses.items()
+            incarnation: loss
+            for incarnation, loss in self.losses.items()
             if loss.at_s > until_s
         }
         clearances = {
--- a/godwitshunt/quarantine/state.py
+++ b/godwitshunt/quarantine/state.py
@@ -47,20 +47,20 @@
 
     Parameters
     ----------
-    places : tuple of str
+    incarnations : tuple of str
         Those that ended under the request.
     wait_s : float
         Seconds until the end of its quarantine.
     """
 
     status: QuarantineStatus
-    places: tuple[str, ...] = ()
+    incarnations: tuple[str, ...] = ()
     wait_s: float = 0.0
 
     @property
     def reason(self) -> str:
         """What is told to callers and in logs."""
-        return f'{self.status.value}: lost to {", ".join(self.places)}'
+        return f'{self.status.value}: lost to {", ".join(self.incarnations)}'
 
 
 CLEAR = Assessment(QuarantineStatus.clear)
@@ -151,19 +151,21 @@
         record = self.table.records.get(fingerprint)
         if record is None:
             return CLEAR
-        places = tuple(one.place for one in record.held())
+        incarnations = tuple(one.incarnation for one in record.held())
         if fingerprint not in self.table.confirmed():
-            if len(places) < SUSPECTED_CRASHES:
+            if len(incarnations) < SUSPECTED_CRASHES:
                 return CLEAR
-            return Assessment(QuarantineStatus.suspected, places)
+            return Assessment(QuarantineStatus.suspected, incarnations)
         wait_s = record.last_loss_s() + self.length_s - self.now()
         if wait_s > 0:
-            return Assessment(QuarantineStatus.quarantined, places, wait_s)
+            return Assessment(
+                QuarantineStatus.quarantined, incarnations, wait_s
+            )
         if fingerprint in self.probing and not is_probe:
             return Assessment(
-                QuarantineStatus.quarantined, places, self.length_s
+                QuarantineStatus.quarantined, incarnations, self.length_s
             )
-        return Assessment(QuarantineStatus.on_probation, places)
+        return Assessment(QuarantineStatus.on_probation, incarnations)
 
     def begin_probe(self, fingerprint: Fingerprint) -> None:
         """Try a request on probation; others like it wait for its end."""
@@ -226,7 +228,7 @@
         now_s = self.now()
         return {
             'losses': [
-                f'{one.place} {now_s - one.at_s:.2f}s ago '
+                f'{one.incarnation} {now_s - one.at_s:.2f}s ago '
                 f'after {one.exposure_s:.3f}s'
                 for one in record.held()
             ],
--- a/godwitshunt/quarantine/table.py
+++ b/godwitshunt/quarantine/table.py
@@ -239,8 +239,8 @@
     """
     listed = sorted(sizes)
     left = total
-    for place, size in enumerate(listed):
-        share = left // (len(listed) - place)
+    for incarnation, size in enumerate(listed):
+        share = left // (len(listed) - incarnation)
         if size > share:
             return share
         left -= size
--- a/godwitshunt/quarantine/tests/test_joining.py
+++ b/godwitshunt/quarantine/tests/test_joining.py
@@ -29,7 +29,7 @@
     body_bytes=st.just(5),
     loss=st.builds(
         Loss,
-        place=st.sampled_from(['i-1', 'i-2', 'i-3', 'i-4']),
+        incarnation=st.sampled_from(['i-1', 'i-2', 'i-3', 'i-4']),
         at_s=st.integers(0, 100).map(float),
         exposure_s=st.just(0.1),
     ),
--- a/godwitshunt/quarantine/tests/test_machine.py
+++ b/godwitshunt/quarantine/tests/test_machine.py
@@ -40,7 +40,7 @@
     def __init__(self):
         super().__init__()
         self.now_s = 0.0
-        self.places = 0
+        self.incarnations = 0
         self.restarts = 0
         self.lethal_ends: list[float] = []
         self.heard: dict[tuple[int, int], int] = {}
@@ -63,9 +63,9 @@
 
     def lose_both(self, process, at_s):
         """Lose both requests to one more place, as one process sees it."""
-        self.places += 1
+        self.incarnations += 1
         for fingerprint, exposure_s in ((LETHAL, 0.1), (POPULAR, 0.5)):
-            loss = Loss(f'i-{self.places}', at_s, exposure_s)
+            loss = Loss(f'i-{self.incarnations}', at_s, exposure_s)
             lost = LostRequest(fingerprint, '', 5, loss)
             self.quarantines[process].record_loss(lost)
         self.lethal_ends.append(at_s)
@@ -108,7 +108,7 @@
 
     def may_be_guilty(self) -> bool:
         """Tell whether enough places ended at enough moments."""
-        if self.places < CONFIRMED_CRASHES:
+        if self.incarnations < CONFIRMED_CRASHES:
             return False
         return self.moments() >= CONFIRMED_CRASH_TIMES
 
--- a/godwitshunt/quarantine/tests/test_standing.py
+++ b/godwitshunt/quarantine/tests/test_standing.py
@@ -41,9 +41,9 @@
     return made
 
 
-def lose(quarantine, place):
+def lose(quarantine, incarnation):
     """Let an upstream end under the request."""
-    loss = Loss(place, quarantine.now(), 0.1)
+    loss = Loss(incarnation, quarantine.now(), 0.1)
     quarantine.record_loss(LostRequest(LETHAL, '', 5, loss))
 
 
--- a/godwitshunt/quarantine/tests/test_verdicts.py
+++ b/godwitshunt/quarantine/tests/test_verdicts.py
@@ -15,10 +15,10 @@
 LETHAL, BYSTANDER, OTHER = map(named, (1, 2, 3))
 
 
-def lose(table, fingerprint, place, at_s, exposure_s=SHORT_S, **fields):
+def lose(table, fingerprint, incarnation, at_s, exposure_s=SHORT_S, **fields):
     """Note a loss."""
     told = {'organisation': '', 'body_bytes': 5, **fields}
-    loss = Loss(place, at_s, exposure_s)
+    loss = Loss(incarnation, at_s, exposure_s)
     table.record_loss(LostRequest(fingerprint, loss=loss, **told))
 
 
--- a/godwitshunt/quarantine/verdicts.py
+++ b/godwitshunt/quarantine/verdicts.py
@@ -39,7 +39,7 @@
     for record in suspects:
         if record.moments(explained) >= UNEXPLAINED_MOMENTS:
             confirmed[record.fingerprint] = len(record.held())
-            explained.update(one.place for one in record.held())
+            explained.update(one.incarnation for one in record.held())
     return confirmed
 
 
