--- a/godwitshunt/ingress/tests/test_young_vm.py
+++ b/godwitshunt/ingress/tests/test_young_vm.py
@@ -66,7 +66,7 @@
     await deployment.greet(watch)
     watch.started_s = deployment.timer.now()
     asked: list[str] = []
-    watch.begin = lambda target: asked.append(str(target))
+    watch.start_poll = lambda target: asked.append(str(target))
     deployment.timer.advance(WARM_UP_PERIOD_S)
     watch.tick()
     assert asked == [str(address(1))]
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -106,7 +106,7 @@
             reason=reason,
         )
         self.watch.contacts.of(str(picker)).fail()
-        self.watch.begin(picker)
+        self.watch.start_poll(picker)
 
     def report_attempt(self, made: AttemptShown) -> None:
         """Tell the picker what an attempt showed."""
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -151,7 +151,7 @@
         """
         if not self.is_told:
             self.is_told = True
-            self.watch.tell()
+            self.watch.report_now()
 
     async def start(self) -> None:
         """Start every part, the callers' listener last."""
@@ -178,7 +178,7 @@
     async def close(self) -> None:
         """Finish every request, then close every part."""
         self.ingress.draining = True
-        self.watch.tell()
+        self.watch.report_now()
         await self.ingress.close(
             self.settings.farewell_s,
             self.settings.drain_limit_s,
--- a/godwitshunt/registry/tests/deployment.py
+++ b/godwitshunt/registry/tests/deployment.py
@@ -173,7 +173,7 @@
             self.timer,
             Metrics(),
         )
-        watch.begin = lambda target: None
+        watch.start_poll = lambda target: None
         return watch
 
     async def exchange(self, *numbers: int) -> None:
