--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -26,7 +26,7 @@
     SendHere,
 )
 from godwitshunt.picking.choosing import Chooser
-from godwitshunt.picking.handed import HandedLoads
+from godwitshunt.picking.handover_loads import HandedLoads
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.routes import RouteTable
 from godwitshunt.picking.upstreams import Upstreams
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -17,7 +17,7 @@
     SendHere,
     describe_candidate,
 )
-from godwitshunt.picking.handed import HandedLoads
+from godwitshunt.picking.handover_loads import HandedLoads
 from godwitshunt.picking.limits import PickerLimits
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.picker import (
