--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -21,9 +21,9 @@
 from godwitshunt.routing.candidates import affinity_key
 from godwitshunt.routing.hashing import rank_weight
 from godwitshunt.routing.index import ViewIndex
-from godwitshunt.routing.policy import forbidden
+from godwitshunt.routing.policy import permanent_refusal
 from godwitshunt.routing.prediction import occupancy
-from godwitshunt.routing.regions import forward, targets
+from godwitshunt.routing.regions import forward_targets, make_forward
 
 # Our decision where every VM sees every engine as it is now.
 EXACT = 'ours with exact view'
@@ -46,7 +46,7 @@
         random: Random,
     ) -> Decision:
         """Decide as `godwitshunt.routing.choose` does."""
-        refusal = forbidden(view, request)
+        refusal = permanent_refusal(view, request)
         if refusal is not None:
             return refusal
         if view.region in request.allowed:
@@ -58,8 +58,8 @@
             )
             if upstreams:
                 return Serve(self.pick(upstreams, request, random))
-        for target in targets(view, request, objective, 0.0):
-            decision = forward(target, request, random)
+        for target in forward_targets(view, request, objective, 0.0):
+            decision = make_forward(target, request, random)
             if decision is not None:
                 return decision
         return Refuse(RefusalReason.no_upstream, 1.0)
--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -11,7 +11,7 @@
 )
 from godwitshunt.replay.deployments import Deployment
 from godwitshunt.routing import RouteRequest
-from godwitshunt.routing.prediction import Work, open_slots
+from godwitshunt.routing.prediction import RequestWork, open_slots
 from godwitshunt.settings import Address
 
 ROUND_TRIP_S = 0.04
@@ -19,7 +19,7 @@
 UPSTREAM_LEASE_S = 2.5
 ENDS = 64
 VMS_PER_REGION = 2
-EMPTY = Work(prompt_tokens=0, output_tokens=0, allowed_s=0.0)
+EMPTY = RequestWork(prompt_tokens=0, output_tokens=0, allowed_s=0.0)
 ADDRESS = Address(host='127.0.0.1', port=1)
 
 
--- a/godwitshunt/routing/policy.py
+++ b/godwitshunt/routing/policy.py
@@ -25,17 +25,17 @@
     Serve,
     Wait,
 )
-from godwitshunt.routing.prediction import Work
+from godwitshunt.routing.prediction import RequestWork
 from godwitshunt.routing.regions import (
     Target,
     away_penalty,
     came_back,
     crossed_regions,
-    forward,
+    forward_targets,
     least_away,
+    make_forward,
     price_of,
     takes_now,
-    targets,
 )
 
 SHORTEST_WAIT_S = 0.05
@@ -90,7 +90,7 @@
     Decision
         `Serve`, `Forward`, `Wait` or `Refuse`.
     """
-    refusal = forbidden(view, request)
+    refusal = permanent_refusal(view, request)
     if refusal is not None:
         return refusal
     group = INDEX.group(view, request.service, request.model)
@@ -103,11 +103,11 @@
             return here
     others = []
     if not view.isolated:
-        others = targets(view, request, objective, speed)
+        others = forward_targets(view, request, objective, speed)
     return decide(request, local, others, objective, random)
 
 
-def forbidden(view: RegionView, request: RouteRequest) -> Refuse | None:
+def permanent_refusal(view: RegionView, request: RouteRequest) -> Refuse | None:
     """Return a refusal that no free capacity could change."""
     if came_back(view, request):
         return Refuse(RefusalReason.loop)
@@ -165,7 +165,7 @@
     if not usable.members:
         served = not request.excluded.issuperset(group.places)
         return LocalChoice(None, served=served)
-    work = Work(
+    work = RequestWork(
         request.prompt_tokens,
         request.output_tokens,
         request.waited_s + request.deadline_s,
@@ -184,7 +184,7 @@
 
 def score_local(
     candidate: Candidate,
-    work: Work,
+    work: RequestWork,
     request: RouteRequest,
     objective: Objective,
 ) -> Local:
@@ -219,7 +219,7 @@
     staying = staying_score(local, here, request, objective)
     for target in others:
         if target.score < staying and takes_now(target, request):
-            decision = forward(target, request, random)
+            decision = make_forward(target, request, random)
             if decision is not None:
                 return decision
     return here or without_place(request, local, others, random)
--- a/godwitshunt/routing/prediction.py
+++ b/godwitshunt/routing/prediction.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True)
-class Work:
+class RequestWork:
     """The part of a request that a prediction needs.
 
     Parameters
--- a/godwitshunt/routing/regions.py
+++ b/godwitshunt/routing/regions.py
@@ -70,7 +70,7 @@
     return summary.slots > 0 and summary.age_s <= MAX_SUMMARY_AGE_S
 
 
-def targets(
+def forward_targets(
     view: RegionView,
     request: RouteRequest,
     objective: Objective,
@@ -145,7 +145,7 @@
     return in_time and summary.free_slots > kept
 
 
-def forward(
+def make_forward(
     target: Target,
     request: RouteRequest,
     random: Random,
