--- a/godwitshunt/registry/suspect_wire.py
+++ b/godwitshunt/registry/suspect_wire.py
@@ -28,7 +28,7 @@
         body_bytes=record.body_bytes,
         losses=[
             ttypes.PlaceLost(
-                loss.place,
+                loss.incarnation,
                 milliseconds_ago(loss.at_s, now_s),
                 int(loss.exposure_s * MILLISECONDS),
             )
