--- a/godwitshunt/registry/contacts.py
+++ b/godwitshunt/registry/contacts.py
@@ -65,7 +65,7 @@
         What its fastest answers of late took.
     fails : bool
         True from a call without answer to the next answer.
-    gives_places : bool
+    picker_active : bool
         True where it gives places to entry VMs of its region.
     prefixes_version : int
         What to ask held prefixes after.
@@ -86,7 +86,7 @@
     answered_s: float = NEVER_S
     round_trip_s: float = inf
     fails: bool = False
-    gives_places: bool = False
+    picker_active: bool = False
     prefixes_version: int = 0
     prefixes_told: int = 0
     suspects_version: int = 0
@@ -106,10 +106,10 @@
         self.round_trip_s = min(took_s, self.round_trip_s * LONGER)
         self.fails = False
 
-    def fail(self) -> None:
+    def record_failure(self) -> None:
         """Note a call without answer."""
         self.fails = True
-        self.gives_places = False
+        self.picker_active = False
 
     def answers(self, now_s: float) -> bool:
         """Tell whether it is well, as far as this VM's calls show."""
@@ -149,10 +149,10 @@
     >>> contacts = Contacts()
     >>> known = [KnownControl('b', True, 4.0), KnownControl('a', True, 4.0)]
     >>> for name in ('a', 'b'):
-    ...     contacts.of(name).answer('s', sent_s=4.0, now_s=4.1)
+    ...     contacts.for_control(name).answer('s', sent_s=4.0, now_s=4.1)
     >>> contacts.first(known, now_s=5.0)
     'a'
-    >>> contacts.of('a').fail()
+    >>> contacts.for_control('a').record_failure()
     >>> contacts.first(known, now_s=5.0)
     'b'
     """
@@ -160,7 +160,7 @@
     by_name: dict[str, ControlContact] = field(default_factory=dict)
     near_only_until_s: float = NEVER_S
 
-    def of(self, name: str) -> ControlContact:
+    def for_control(self, name: str) -> ControlContact:
         """Return what calls to a control VM have shown."""
         return self.by_name.setdefault(name, ControlContact())
 
@@ -174,7 +174,9 @@
         All VMs of a region ask the same one of its control VMs, the first by
         name: what it hears of them is then all that goes on there.
         """
-        well = [one for one in known if self.of(one.name).answers(now_s)]
+        well = [
+            one for one in known if self.for_control(one.name).answers(now_s)
+        ]
         here = [one.name for one in well if one.is_here]
         if here:
             return min(here)
@@ -182,7 +184,7 @@
             return None
         return min(
             (one.name for one in well),
-            key=lambda name: self.of(name).round_trip_s,
+            key=lambda name: self.for_control(name).round_trip_s,
             default=None,
         )
 
@@ -194,7 +196,7 @@
         """Return the control VM that gives places here; None for none."""
         listed = [one for one in known if one.is_here]
         name = self.first(listed, now_s)
-        if name is None or not self.of(name).gives_places:
+        if name is None or not self.for_control(name).picker_active:
             return None
         return name
 
@@ -227,10 +229,10 @@
         period_s: float,
     ) -> bool:
         """Tell whether a control VM is to be asked now."""
-        waited_s = now_s - self.of(one.name).asked_s
+        waited_s = now_s - self.for_control(one.name).asked_s
         if one.name == first:
             return waited_s >= period_s
-        if first is None and not self.of(one.name).source:
+        if first is None and not self.for_control(one.name).source:
             return waited_s >= PROBE_PERIOD_S
         # One that would be asked first, if it answered, may be back.
         would_be_first = one.is_here and (first is None or one.name < first)
