--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -27,7 +27,7 @@
     HandOver,
     SendHere,
 )
-from godwitshunt.picking.choosing import (
+from godwitshunt.picking.chooser import (
     Chooser,
 )
 from godwitshunt.picking.neighbours import Neighbours
--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -8,7 +8,7 @@
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.picking.attempt_recorder import Learner
-from godwitshunt.picking.choosing import Chooser
+from godwitshunt.picking.chooser import Chooser
 from godwitshunt.picking.client import PickerClient
 from godwitshunt.registry import RegistryWatch
 from godwitshunt.routing.cold_budget import ColdBounds, ColdBudget
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -13,7 +13,7 @@
 from godwitshunt.organisations import Standing
 from godwitshunt.picking.attempt_recorder import Learner
 from godwitshunt.picking.choices import ChoiceRequest
-from godwitshunt.picking.choosing import (
+from godwitshunt.picking.chooser import (
     Chooser,
 )
 from godwitshunt.picking.client import PickerClient
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -25,7 +25,7 @@
     NoPlace,
     SendHere,
 )
-from godwitshunt.picking.choosing import Chooser
+from godwitshunt.picking.chooser import Chooser
 from godwitshunt.picking.handover_loads import HandedLoads
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.routes import RouteTable
--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -13,7 +13,7 @@
     NoPlace,
     SendHere,
 )
-from godwitshunt.picking.choosing import (
+from godwitshunt.picking.chooser import (
     LEAST_RETRY_S,
     NO_UPSTREAM_RETRY_S,
     Chooser,
--- a/godwitshunt/picking/tests/test_failing_upstreams.py
+++ b/godwitshunt/picking/tests/test_failing_upstreams.py
@@ -8,7 +8,7 @@
     NoPlace,
     SendHere,
 )
-from godwitshunt.picking.choosing import (
+from godwitshunt.picking.chooser import (
     Chooser,
 )
 from godwitshunt.picking.neighbours import Neighbours
--- a/godwitshunt/picking/tests/test_usual_doors.py
+++ b/godwitshunt/picking/tests/test_usual_doors.py
@@ -6,7 +6,7 @@
 """
 
 from godwitshunt.picking.choices import HandOver
-from godwitshunt.picking.choosing import USUAL_DOORS
+from godwitshunt.picking.chooser import USUAL_DOORS
 from godwitshunt.picking.tests.region import SHORT, PickedRegion, engine
 
 ASKERS = 6
