--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -133,7 +133,7 @@
     def gossip(self, now: float) -> None:
         """Let every VM send its messages."""
         for name, limits in self.limits.items():
-            limits.forget(now)
+            limits.expire(now)
             for peer in limits.peers_to_notify(now):
                 news = limits.compose_update(peer, now)
                 self.sent_bytes += len(encode(update_to_wire(news)))
--- a/godwitshunt/routing/limits.py
+++ b/godwitshunt/routing/limits.py
@@ -327,7 +327,7 @@
         """Return the rate that is never lent."""
         return self.quotas[caller].rate_per_s * KEPT_SHARE
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop peers, loans and meters that no longer matter."""
         self.settle(self.meters, now)
         for name, peer in tuple(self.peers.items()):
--- a/godwitshunt/routing/limits_task.py
+++ b/godwitshunt/routing/limits_task.py
@@ -96,7 +96,7 @@
     def tell_peers(self) -> None:
         """Ask for loans, and lend to peers that asked."""
         now = self.timer.now()
-        self.limits.forget(now)
+        self.limits.expire(now)
         for name in sorted(self.limits.peers_to_notify(now)):
             vm = self.vms.get(name)
             if vm is not None:
--- a/godwitshunt/routing/tests/test_limits.py
+++ b/godwitshunt/routing/tests/test_limits.py
@@ -70,7 +70,7 @@
 
     def gossip(self, number, now):
         own_now = now + CLOCK_GAP_S * number
-        self.vms[number].forget(own_now)
+        self.vms[number].expire(own_now)
         for other, _ in enumerate(self.vms):
             news = self.vms[number].compose_update(str(other), own_now)
             if other != number and self.chance.random() >= self.lost:
