--- a/godwitshunt/organisations/__init__.py
+++ b/godwitshunt/organisations/__init__.py
@@ -6,6 +6,7 @@
 """
 
 from godwitshunt.organisations.binding import UrgencyLevels, bind_route
+from godwitshunt.organisations.freshness import FreshnessRule
 from godwitshunt.organisations.keys import KeyRing, key_digest
 from godwitshunt.organisations.limits import (
     LimitPool,
@@ -13,7 +14,6 @@
     Sums,
     limits_of,
 )
-from godwitshunt.organisations.proofs import FreshnessRule
 from godwitshunt.organisations.shares import fixed_shares, usable_share
 
 __all__ = [
