--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -261,7 +261,7 @@
             return
         self.next_s = now_s + GOSSIP_S
         for vm, one in enumerate(self.limits):
-            one.forget(now_s)
+            one.expire(now_s)
             for name in one.peers_to_notify(now_s):
                 other = int(name)
                 here, there = region_of(vm), region_of(other)
