--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -105,7 +105,7 @@
             request=question.request,
             reason=reason,
         )
-        self.watch.contacts.for_control(str(picker)).fail()
+        self.watch.contacts.for_control(str(picker)).record_failure()
         self.watch.start_poll(picker)
 
     def report_attempt(self, made: AttemptShown) -> None:
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -431,7 +431,7 @@
     def note_lost(self, control: str, reason: str) -> None:
         """Count a call without answer; log the first of several."""
         self.metrics.count('registry_polls_failed_total')
-        self.contacts.for_control(control).fail()
+        self.contacts.for_control(control).record_failure()
         if control not in self.lost:
             self.lost.add(control)
             log_change('registry:control_lost', control=control, reason=reason)
