--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -11,7 +11,7 @@
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.organisations import Standing
-from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.choices import ChoiceRequest
 from godwitshunt.picking.chooser import (
     Chooser,
@@ -74,7 +74,7 @@
     upstreams: Upstreams
     neighbours: Neighbours
     chooser: Chooser
-    learner: Learner
+    attempt_recorder: AttemptRecorder
     picker: PickerClient
     budgets: Budgets
     witness: CrashWitness
--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -99,7 +99,7 @@
             was_held_up=bool(choice.waiting_tokens) or choice.is_cold,
         )
         now_s = self.context.timer.now()
-        self.context.learner.record(told, self.request.service, now_s)
+        self.context.attempt_recorder.record(told, self.request.service, now_s)
         self.context.picker.report_attempt(told)
         if shown is Shown.answered:
             self.count_prompt(choice)
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -8,7 +8,7 @@
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.organisations import LimitPool
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
-from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.attempt_reports import shown_from_wire
 from godwitshunt.picking.choices import (
     HandOver,
@@ -111,7 +111,7 @@
             bounds.limit_allowance,
         )
         registry.admitted = self.picker.limits.admitted
-        self.learner = Learner(
+        self.attempt_recorder = AttemptRecorder(
             self.picker.upstreams,
             registry.view,
             registry.mark_replaced,
@@ -203,7 +203,7 @@
         for made in shown_from_wire(told.shown):
             service = revision and service_of(revision, made.service)
             if service:
-                self.learner.record(made, service, now_s)
+                self.attempt_recorder.record(made, service, now_s)
 
     def note_waits(self, name: str, report: Report) -> None:
         """Note which upstreams have shown an entry VM nothing for how long."""
