--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -158,7 +158,7 @@
         self.follow_revision(now_s)
         self.forget_absent()
         self.picker.upstreams.forget(view.upstreams)
-        self.picker.cold.forget(frozenset(view.upstreams))
+        self.picker.cold.remove_absent(frozenset(view.upstreams))
         own = str(self.registry.place.address)
         self.picker.rank_among(
             own, tables.controls_in_region(self.picker.region)
