--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -179,7 +179,7 @@
         revision = SimpleNamespace(evacuated=frozenset())
         match vm.chooser.choose(ask, view, revision):
             case SendHere(seen=seen, unread_tokens=unread):
-                self.send(vm, seen.told.incarnation, job, unread)
+                self.send(vm, seen.announcement.incarnation, job, unread)
             case HandOver(entry=entry):
                 receiver = self.vm_of(entry.region)
                 self.at(
