--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -76,7 +76,9 @@
             upstreams={
                 name: upstream(name, region) for name, region in places.items()
             },
-            doors={region: (door(region),) for region in pattern.engines},
+            entry_points={
+                region: (door(region),) for region in pattern.engines
+            },
         )
         self.vms = [
             self.make_vm(region)
