--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -10,7 +10,7 @@
 from godwitshunt.ingress.authorization import Authorizer
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.witness import CrashWitness
-from godwitshunt.organisations import Standing
+from godwitshunt.organisations import AdmissionShare
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.choices import ChoiceRequest
 from godwitshunt.picking.chooser import (
@@ -88,7 +88,7 @@
         """What is held against requests that upstreams ended under."""
         return self.watch.quarantine
 
-    def limit_standing(self) -> Standing:
+    def limit_standing(self) -> AdmissionShare:
         """Return this VM's part of organisations' limits, without a picker.
 
         The region's share is left by all other pickers while they don't hear
@@ -97,7 +97,7 @@
         regions = set(self.settings.domains.values())
         regions.add(self.settings.region)
         part = 1 / len(regions) / self.neighbours.count_in_region()
-        return Standing(part, part)
+        return AdmissionShare(part, part)
 
     def cold_share(self) -> float:
         """Return this VM's part of what cold upstreams of its region may get.
--- a/godwitshunt/organisations/__init__.py
+++ b/godwitshunt/organisations/__init__.py
@@ -9,8 +9,8 @@
 from godwitshunt.organisations.freshness import FreshnessRule
 from godwitshunt.organisations.keys import KeyRing, key_digest
 from godwitshunt.organisations.limits import (
+    AdmissionShare,
     LimitPool,
-    Standing,
     Sums,
     limits_of,
 )
@@ -20,7 +20,7 @@
     'KeyRing',
     'LimitPool',
     'FreshnessRule',
-    'Standing',
+    'AdmissionShare',
     'Sums',
     'UrgencyLevels',
     'bind_route',
--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -5,8 +5,8 @@
 
 from godwitshunt.manifest import Manifest
 from godwitshunt.organisations import (
+    AdmissionShare,
     LimitPool,
-    Standing,
     fixed_shares,
     limits_of,
     usable_share,
@@ -57,13 +57,13 @@
             here.append(self.tables.own_name)
         return found
 
-    def standing(self, now_s: float) -> Standing:
+    def standing(self, now_s: float) -> AdmissionShare:
         """Return which part of limits may be admitted here now.
 
         What others have admitted is taken first.
         """
         if not self.pool.buckets:
-            return Standing()
+            return AdmissionShare()
         pickers = self.pickers()
         shares = fixed_shares(pickers)
         heard = {self.tables.own_name: inf}
@@ -81,7 +81,7 @@
         known = {str(one) for one in self.tables.place.others()}
         known.update(heard)
         own = self.tables.own_name
-        return Standing(
+        return AdmissionShare(
             part=usable_share(own, pickers, known, heard),
             share=shares[own],
             peers_seen_s=min(heard.values()),
