--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -180,8 +180,8 @@
         view = replace(self.view, loads=self.heard.get(id(vm), {}))
         revision = SimpleNamespace(evacuated=frozenset())
         match vm.chooser.choose(ask, view, revision):
-            case SendHere(seen=seen, unread_tokens=unread):
-                self.send(vm, seen.announcement.incarnation, job, unread)
+            case SendHere(upstream=upstream, unread_tokens=unread):
+                self.send(vm, upstream.announcement.incarnation, job, unread)
             case HandOver(entry=entry):
                 receiver = self.vm_of(entry.region)
                 self.at(
