--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -143,11 +143,11 @@
         """Give no more places; entry VMs ask another picker, or none."""
         if self.subscription is not None:
             self.subscription.cancel()
-        self.registry.gives_places = False
+        self.registry.picker_active = False
 
     def begin(self, reason: str) -> None:
         """Give places from now on."""
-        self.registry.gives_places = True
+        self.registry.picker_active = True
         log_change('picking:began', reason=reason)
 
     def tick(self) -> None:
@@ -226,7 +226,7 @@
         self, question: DestinationRequest, now_s: float
     ) -> Given | Unable:
         """Return where a request goes."""
-        if not self.registry.gives_places:
+        if not self.registry.picker_active:
             return Unable('what runs is not known yet')
         revision = self.follow_revision(now_s)
         if revision is None:
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -350,7 +350,7 @@
         contact = self.contacts.for_control(control)
         is_known = message.source == contact.source
         contact.answer(message.source, sent_s, now_s)
-        contact.gives_places = bool(message.gives_places)
+        contact.picker_active = bool(message.gives_places)
         contact.region = message.region or ''
         contact.misses = missed_tables(message, sent_s)
         self.prefixes.take(prefixes_from_wire(message.prefixes, now_s))
