--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -47,12 +47,12 @@
 
     def pickers(self) -> dict[str, list[str]]:
         """Return the control VMs of each region that are known."""
-        regions = set(self.tables.place.regions.values())
-        regions.add(self.tables.place.region)
+        regions = set(self.tables.location.regions.values())
+        regions.add(self.tables.location.region)
         found = {
             region: self.tables.controls_in_region(region) for region in regions
         }
-        here = found[self.tables.place.region]
+        here = found[self.tables.location.region]
         if self.tables.own_name not in here:
             here.append(self.tables.own_name)
         return found
@@ -78,7 +78,7 @@
             )
             if now_s - table.loads_asof_s <= PEER_TIMEOUT_S:
                 heard[control] = table.loads_asof_s
-        known = {str(one) for one in self.tables.place.others()}
+        known = {str(one) for one in self.tables.location.others()}
         known.update(heard)
         own = self.tables.own_name
         return AdmissionShare(
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -85,9 +85,9 @@
         self.reported: dict[str, frozenset[str]] = {}
         self.of_revision: Revision | None = None
         self.routes = RouteTable()
-        region = registry.place.region
+        region = registry.location.region
         tables = registry.tables
-        neighbours = Neighbours(str(registry.place.address), region)
+        neighbours = Neighbours(str(registry.location.address), region)
         self.picker = Picker(
             region=region,
             upstreams=Upstreams(),
@@ -159,7 +159,7 @@
         self.forget_absent()
         self.picker.upstreams.forget(view.upstreams)
         self.picker.cold.remove_absent(frozenset(view.upstreams))
-        own = str(self.registry.place.address)
+        own = str(self.registry.location.address)
         self.picker.rank_among(
             own, tables.controls_in_region(self.picker.region)
         )
@@ -168,7 +168,7 @@
         # for nothing would look admitted through a silence of theirs.
         self.limits.standing(now_s)
         self.limits.forget(now_s)
-        for region in set(self.registry.place.regions.values()):
+        for region in set(self.registry.location.regions.values()):
             round_trip_s = tables.round_trip_s(region)
             if round_trip_s is not None:
                 trips = self.picker.neighbours.round_trips
