--- a/godwitshunt/ingress/account.py
+++ b/godwitshunt/ingress/account.py
@@ -71,7 +71,7 @@
         self.control_age_s = control_age_s
         match choice:
             case SendHere(upstream=upstream):
-                place = upstream.told.incarnation
+                place = upstream.announcement.incarnation
             case HandOver(entry=entry):
                 place = f'{entry.region}/{entry.name}'
             case NoPlace(overloaded=overloaded):
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -115,7 +115,7 @@
         """Tell whether this VM may send a cold upstream one more request."""
         cold = ask.service.cold_start
         return cold is None or self.budgets.cold.has_room(
-            upstream.told.incarnation,
+            upstream.announcement.incarnation,
             cold.requests_per_s,
             self.cold_share(),
             ask.now_s,
--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -49,7 +49,7 @@
     @property
     def instance(self) -> str:
         """The upstream."""
-        return self.choice.upstream.told.incarnation
+        return self.choice.upstream.announcement.incarnation
 
     @property
     def shown(self) -> Shown | None:
@@ -110,7 +110,7 @@
         Repeats of a request have one fingerprint, whatever their ids. One
         that leaves ends as it said, whatever it runs.
         """
-        told = made.choice.upstream.told
+        told = made.choice.upstream.announcement
         if made.attempt.closed and not self.leaves(told):
             self.context.witness.record_loss(
                 self.request,
@@ -134,7 +134,7 @@
         """Tell whether an upstream said that it leaves."""
         watch = self.context.watch
         known = watch.view().upstreams.get(told.incarnation)
-        is_draining = known is not None and known.told.draining
+        is_draining = known is not None and known.announcement.draining
         return is_draining or watch.has_ended(told)
 
     def note_survival(self) -> None:
@@ -194,6 +194,6 @@
     """
     match choice:
         case SendHere(upstream=upstream):
-            return upstream.told.incarnation
+            return upstream.announcement.incarnation
         case HandOver(entry=entry):
             return f'{entry.region}/{entry.name}~{entry.session}'
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -236,7 +236,7 @@
                 return NoPlace(overloaded=True, retry_after_s=RETRY_AFTER_S)
             if isinstance(choice, HandOver) or self.may_send(choice):
                 return choice
-            self.sender.excluded.add(choice.upstream.told.incarnation)
+            self.sender.excluded.add(choice.upstream.announcement.incarnation)
 
     async def ask_picker(self) -> Choice | None:
         """Return the picker's choice; None where this VM must choose.
@@ -302,12 +302,14 @@
         What this VM has heard from any control VM holds: that an upstream
         leaves, that its start is over, that its failure domain is evacuated.
         """
-        told = upstream.told
+        told = upstream.announcement
         homes = self.request.route.homes
         known = self.context.watch.view().upstreams.get(
             told.incarnation, upstream
         )
-        leaves = known.told.draining or self.context.watch.has_ended(told)
+        leaves = known.announcement.draining or self.context.watch.has_ended(
+            told
+        )
         is_home = not homes or self.context.settings.region in homes
         evacuated = self.context.active_revision().revision.evacuated
         is_evacuated = told.failure_domain in evacuated
@@ -317,7 +319,7 @@
         """Ask for another place than this one."""
         match choice:
             case SendHere(upstream=upstream):
-                self.sender.excluded.add(upstream.told.incarnation)
+                self.sender.excluded.add(upstream.announcement.incarnation)
             case HandOver(entry=entry):
                 self.sender.excluded.add(entry.region)
 
@@ -388,7 +390,7 @@
         if choice.chosen_by_picker or not choice.is_cold or cold is None:
             return True
         return self.context.budgets.cold.spend(
-            choice.upstream.told.incarnation,
+            choice.upstream.announcement.incarnation,
             cold.requests_per_s,
             self.context.cold_share(),
             self.context.timer.now(),
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -121,7 +121,7 @@
     async def send_here(self, choice: SendHere) -> AttemptOutcome:
         """Send the request to an upstream of this region."""
         context = self.context
-        told = choice.upstream.told
+        told = choice.upstream.announcement
         health = context.upstreams.of(told.incarnation)
         tokens = choice.unread_tokens
         signs = SignsOfLife(
