--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -157,13 +157,13 @@
         await self.tables.close()
         await self.background.close()
 
-    async def settle(self) -> bool:
+    async def flush(self) -> bool:
         """Wait until what is known now is on disk; False where it failed.
 
         That an upstream leaves is acknowledged only then: after a loss of
         power it would else get work from those who remember it as ready.
         """
-        return await self.keeper.settle()
+        return await self.keeper.flush()
 
     def announce(self, announcement: UpstreamAnnounced) -> AnnounceOutcome:
         """Take an upstream's announcement."""
