--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -347,7 +347,7 @@
                 return Limited(wait_s)
         choice = self.choose_alone_unlimited()
         if is_limited and not isinstance(choice, NoPlace):
-            limits.take(name, cost, now_s)
+            limits.charge(name, cost, now_s)
         return choice
 
     def choose_alone_unlimited(self) -> Choice:
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -232,7 +232,7 @@
     def spend_limit(self, question: DestinationRequest, now_s: float) -> None:
         """Count a request that is given a place, here or elsewhere."""
         if question.organisation and not question.local:
-            self.limits.take(question.organisation, question.cost, now_s)
+            self.limits.charge(question.organisation, question.cost, now_s)
 
     def ask(
         self,
