--- a/godwitshunt/ingress/tests/test_young_vm.py
+++ b/godwitshunt/ingress/tests/test_young_vm.py
@@ -63,7 +63,7 @@
     """Other VMs take requests a moment later than this one asked first."""
     deployment = Deployment()
     watch = deployment.entry(101)
-    await deployment.greet(watch)
+    await deployment.poll_controls(watch)
     watch.started_s = deployment.timer.now()
     asked: list[str] = []
     watch.start_poll = lambda target: asked.append(str(target))
--- a/godwitshunt/picking/tests/region.py
+++ b/godwitshunt/picking/tests/region.py
@@ -182,7 +182,7 @@
         await self.exchange()
         await self.exchange()
         for entry in entries:
-            await self.greet(entry.watch)
+            await self.poll_controls(entry.watch)
 
     def picker_of(self, entry: Entry) -> Address | None:
         """Return whom an entry VM asks."""
--- a/godwitshunt/registry/tests/deployment.py
+++ b/godwitshunt/registry/tests/deployment.py
@@ -185,7 +185,7 @@
                 if other != address(number):
                     await self.controls[number].tables.ask(other)
 
-    async def greet(self, watch: RegistryWatch) -> None:
+    async def poll_controls(self, watch: RegistryWatch) -> None:
         """Let an entry VM ask all control VMs for the first time."""
         for number in self.controls:
             await self.poll(watch, number)
--- a/godwitshunt/registry/tests/test_prefixes.py
+++ b/godwitshunt/registry/tests/test_prefixes.py
@@ -22,7 +22,7 @@
     deployment = Deployment()
     watches = [deployment.entry(number) for number in numbers]
     for watch in watches:
-        await deployment.greet(watch)
+        await deployment.poll_controls(watch)
     return deployment, watches
 
 
@@ -44,7 +44,7 @@
     deployment = Deployment()
     one, other = deployment.entry(101, 'a'), deployment.entry(102, 'b')
     for watch in (one, other):
-        await deployment.greet(watch)
+        await deployment.poll_controls(watch)
     one.record_cached_prefix(KEY, 'i-1')
     await deployment.poll(one)
     await deployment.exchange()
