--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -245,7 +245,9 @@
         of the configuration in force; such a place is not used.
         """
         for _ in range(MOST_QUESTIONS):
-            choice = await self.context.picker.place(self.question())
+            choice = await self.context.picker.request_destination(
+                self.question()
+            )
             self.note_counted(choice)
             if choice is None or self.is_sound(choice):
                 return choice
--- a/godwitshunt/picking/tests/region.py
+++ b/godwitshunt/picking/tests/region.py
@@ -104,7 +104,7 @@
             remaining_s=4.0,
             **changes,
         )
-        return await self.client.place(question)
+        return await self.client.request_destination(question)
 
     def begin(self, instance: str, tokens: int = 0) -> int:
         """Send a request to an upstream; return its number."""
