--- a/godwitshunt/registry/tests/test_after_the_dark.py
+++ b/godwitshunt/registry/tests/test_after_the_dark.py
@@ -68,7 +68,7 @@
     before.announce(announced('i-1', 2, draining=True))
     before.withdraw('i-2')
     after = await restarted(before)
-    assert after.upstreams.entries['i-1'].told.draining
+    assert after.upstreams.entries['i-1'].announcement.draining
     assert after.announce(announced('i-2', 9, port=81)) == Stale()
     joined = JoinedTables(REGIONS)
     joined.take(news(after.upstreams, 0), 0, 0)
--- a/godwitshunt/registry/tests/test_news_bounds.py
+++ b/godwitshunt/registry/tests/test_news_bounds.py
@@ -55,7 +55,7 @@
         """Tell whether the entry VM knows it."""
         self.watch.refresh(self.deployment.timer.now())
         seen = self.watch.view().upstreams.get('i-1')
-        return seen is None or seen.told.draining
+        return seen is None or seen.announcement.draining
 
 
 def split(region: Region, *pairs: tuple[int, int]) -> None:
--- a/godwitshunt/registry/tests/test_views.py
+++ b/godwitshunt/registry/tests/test_views.py
@@ -53,7 +53,7 @@
     joined = JoinedTables(REGIONS)
     joined.take(news(old, 0), 0, 0)
     joined.take(news(new, 0, source='c-2'), 0, 0)
-    assert joined.view(0).upstreams['i-1'].told.draining
+    assert joined.view(0).upstreams['i-1'].announcement.draining
 
 
 def test_departure_outlasts_a_table_that_still_lists_it():
