--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -122,7 +122,7 @@
         """Send the request to an upstream of this region."""
         context = self.context
         told = choice.upstream.announcement
-        health = context.upstreams.of(told.incarnation)
+        health = context.upstreams.health_of(told.incarnation)
         tokens = choice.unread_tokens
         signs = SignsOfLife(
             health,
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -82,7 +82,7 @@
     its callers would be refused.
     """
     learned = attempt_recorder(in_flight)
-    speed = learned.upstreams.learned(SERVICE)
+    speed = learned.upstreams.learned_speed(SERVICE)
     before_s = speed.token_s
     made = AttemptShown(
         'i-1',
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -100,7 +100,7 @@
         attempt_recorder.record(
             AttemptShown('i-1', 'llm', made.shown), None, NOW_S
         )
-    health = upstreams.of('i-1')
+    health = upstreams.health_of('i-1')
     missed = (health.connect_failed_s, health.down_until_s)
     assert (missed == (NOW_S, NOW_S + CONNECT_BACKOFF_S)) is not connected
 
--- a/godwitshunt/picking/chooser.py
+++ b/godwitshunt/picking/chooser.py
@@ -157,7 +157,7 @@
             for region in view.doors
         ]
         for upstream in of_service(view, ask.service.name):
-            health = self.upstreams.of(upstream.announcement.incarnation)
+            health = self.upstreams.health_of(upstream.announcement.incarnation)
             ends.extend((health.down_until_s, health.full_until_s))
         opens = [end_s - ask.now_s for end_s in ends if end_s > ask.now_s]
         return max(LEAST_RETRY_S, min(opens, default=NO_UPSTREAM_RETRY_S))
@@ -264,7 +264,7 @@
     ) -> Candidate:
         """Return an upstream as it stands now."""
         told = upstream.announcement
-        health = self.upstreams.of(told.incarnation)
+        health = self.upstreams.health_of(told.incarnation)
         here = upstream.region == self.region
         away_s = 0.0
         if not here:
