--- a/godwitshunt/registry/asking.py
+++ b/godwitshunt/registry/asking.py
@@ -11,7 +11,7 @@
 from godwitshunt.quarantine import SuspectRecord
 from godwitshunt.registry.contacts import ControlContact, HeldTable
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.joined import JoinedTables
+from godwitshunt.registry.merged_tables import JoinedTables
 from godwitshunt.registry.prefixes import CachedPrefix
 from godwitshunt.registry.records import EntryRecord
 from godwitshunt.registry.suspect_wire import suspects_to_wire
--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -15,8 +15,8 @@
 from godwitshunt.quarantine import Quarantine
 from godwitshunt.registry.contacts import ControlContact
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.joined import JoinedTables
 from godwitshunt.registry.ledger import SummedLoads
+from godwitshunt.registry.merged_tables import JoinedTables
 from godwitshunt.registry.prefixes import PrefixTable
 from godwitshunt.registry.records import Load
 from godwitshunt.registry.suspect_wire import suspects_from_wire
--- a/godwitshunt/registry/tests/test_after_the_dark.py
+++ b/godwitshunt/registry/tests/test_after_the_dark.py
@@ -12,8 +12,8 @@
     LostRequest,
     QuarantineStatus,
 )
-from godwitshunt.registry.joined import JoinedTables
 from godwitshunt.registry.kept_upstreams import FILE_NAME, KeptUpstreams
+from godwitshunt.registry.merged_tables import JoinedTables
 from godwitshunt.registry.service import RegistryService
 from godwitshunt.registry.table import Stale, Taken
 from godwitshunt.registry.tests.deployment import control_location
--- a/godwitshunt/registry/tests/test_starts.py
+++ b/godwitshunt/registry/tests/test_starts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitshunt.registry.joined import JoinedTables
+from godwitshunt.registry.merged_tables import JoinedTables
 from godwitshunt.registry.records import UpstreamAnnounced
 from godwitshunt.registry.starts import LATE_WORD_S
 from godwitshunt.registry.table import (
--- a/godwitshunt/registry/tests/test_views.py
+++ b/godwitshunt/registry/tests/test_views.py
@@ -2,7 +2,7 @@
 
 from godwitshunt.registry.entries import ABSENT_AFTER_S, EntryTable
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.joined import JoinedTables
+from godwitshunt.registry.merged_tables import JoinedTables
 from godwitshunt.registry.records import EntryRecord
 from godwitshunt.registry.table import UpstreamTable
 from godwitshunt.registry.tests.test_table import announced
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -18,7 +18,7 @@
 )
 from godwitshunt.registry.contacts import Contacts, KnownControl
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.joined import JoinedTables, TakenNews
+from godwitshunt.registry.merged_tables import JoinedTables, TakenNews
 from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.registry.records import (
     EntryRecord,
