--- a/godwitshunt/registry/tests/test_news_schedules.py
+++ b/godwitshunt/registry/tests/test_news_schedules.py
@@ -198,7 +198,7 @@
         if not hasattr(self, 'versions'):
             return
         for entry, watch in self.watches.items():
-            for control, table in watch.joined.tables.items():
+            for control, table in watch.merged.tables.items():
                 before = self.versions.get((entry, control), ('', 0))
                 if before[0] == table.source:
                     assert table.version >= before[1]
--- a/godwitshunt/registry/tests/test_starts.py
+++ b/godwitshunt/registry/tests/test_starts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitshunt.registry.merged_tables import JoinedTables
+from godwitshunt.registry.merged_tables import MergedTables
 from godwitshunt.registry.records import UpstreamAnnounced
 from godwitshunt.registry.starts import LATE_WORD_S
 from godwitshunt.registry.table import (
@@ -32,15 +32,15 @@
     tables: dict[str, UpstreamTable] = field(
         default_factory=lambda: {'c-1': UpstreamTable(), 'c-2': UpstreamTable()}
     )
-    joined: JoinedTables = field(default_factory=lambda: JoinedTables(REGIONS))
+    merged: MergedTables = field(default_factory=lambda: MergedTables(REGIONS))
 
     def view(self, now_s: float) -> dict[str, UpstreamAnnounced]:
         """Return the upstreams that the entry VM believes in."""
         for control, table in self.tables.items():
             table.tick(now_s)
             told_now = news(table, now_s, source=control)
-            self.joined.take(told_now, now_s, now_s)
-        seen = self.joined.view(now_s).upstreams
+            self.merged.take(told_now, now_s, now_s)
+        seen = self.merged.view(now_s).upstreams
         return {name: one.announcement for name, one in seen.items()}
 
     def starts(self, now_s: float) -> list[int | None]:
