--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -317,6 +317,6 @@
             own_name.answered_s = now_s
         return self.merged.view(now_s)
 
-    def leave(self, incarnation: str) -> None:
+    def mark_replaced(self, incarnation: str) -> None:
         """Note that another upstream answers at an incarnation's address."""
-        self.merged.leave(incarnation, self.timer.now())
+        self.merged.mark_replaced(incarnation, self.timer.now())
--- a/godwitshunt/registry/merged_tables.py
+++ b/godwitshunt/registry/merged_tables.py
@@ -130,7 +130,7 @@
         known = [born_ms for born_ms in announcement if born_ms is not None]
         return EndedStart(start.instance, max(known, default=None))
 
-    def leave(self, incarnation: str, now_s: float) -> None:
+    def mark_replaced(self, incarnation: str, now_s: float) -> None:
         """Note that another upstream answers at one's address."""
         self.replaced.setdefault(incarnation, now_s)
         self.changes += 1
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -193,10 +193,10 @@
         self.cached = replace(self.merged.view(now_s), loads=loads)
         self.cached_s = now_s
 
-    def leave(self, incarnation: str) -> None:
+    def mark_replaced(self, incarnation: str) -> None:
         """Note that an incarnation is no longer at its address."""
         now_s = self.timer.now()
-        self.merged.leave(incarnation, now_s)
+        self.merged.mark_replaced(incarnation, now_s)
         self.refresh(now_s)
         log_change('registry:instance_replaced', instance=incarnation)
 
