--- a/godwitshunt/picking/chooser.py
+++ b/godwitshunt/picking/chooser.py
@@ -154,7 +154,7 @@
         avoided = self.neighbours.avoided
         ends = [
             avoided.get(f'{region} {ask.service.name}', 0.0)
-            for region in view.doors
+            for region in view.entry_points
         ]
         for upstream in of_service(view, ask.service.name):
             health = self.upstreams.health_of(upstream.announcement.incarnation)
@@ -230,7 +230,7 @@
         if not ask.local:
             regions.update(
                 region
-                for region in view.doors
+                for region in view.entry_points
                 if region not in ask.excluded
                 and not self.neighbours.is_avoided(
                     f'{region} {ask.service.name}',
@@ -251,7 +251,7 @@
         """Return the entry VMs of a region that take requests over."""
         return [
             entry
-            for entry in view.doors.get(region, ())
+            for entry in view.entry_points.get(region, ())
             if entry.name not in ask.excluded
             and not self.neighbours.is_avoided(entry.name, ask.now_s)
         ]
