--- a/godwitshunt/picking/routes.py
+++ b/godwitshunt/picking/routes.py
@@ -18,7 +18,7 @@
     ----------
     hosts : mapping
         For each host its routes by path prefix.
-    quiet : mapping
+    low_urgency : mapping
         For a service and a rank the regions that more urgent routes of the
         service have no home in.
     keys : KeyRing
@@ -35,7 +35,7 @@
     """
 
     hosts: Mapping[str, Mapping[str, Route]] = field(default_factory=dict)
-    quiet: Mapping[tuple[str, int], frozenset[str]] = field(
+    low_urgency: Mapping[tuple[str, int], frozenset[str]] = field(
         default_factory=dict,
     )
     keys: KeyRing = field(default_factory=KeyRing)
