--- a/godwitshunt/picking/routes.py
+++ b/godwitshunt/picking/routes.py
@@ -86,9 +86,9 @@
     def level(self, route: Route, organisation: Organisation | None) -> int:
         """Return how urgent an organisation's request of a route is."""
         rank = 0 if organisation is None else organisation.rank or 0
-        return self.levels.of(rank, route.rank)
+        return self.levels.find(rank, route.rank)
 
-    def of(self, host: str, path_prefix: str) -> Route | None:
+    def find(self, host: str, path_prefix: str) -> Route | None:
         """Return the route of a host with exactly this prefix."""
         return self.hosts.get(host, {}).get(path_prefix)
 
