--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -122,7 +122,7 @@
             newer=[],
             prefixes_version=contact.prefixes_version,
             wants_loads=True,
-            scope=Scope.all if self.misses_any(sent_s) else Scope.own_name,
+            scope=Scope.all if self.misses_any(sent_s) else Scope.own,
             from_control=True,
             suspects=[],
             suspects_version=contact.suspects_version,
