--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -14,7 +14,7 @@
     Streamed,
 )
 from godwitshunt.ingress.requests import RoutedRequest
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, Shown
 from godwitshunt.picking.choices import HandOver, SendHere
 from godwitshunt.registry import UpstreamAnnounced
 from godwitshunt.telemetry import log_change
@@ -88,7 +88,7 @@
         if shown is None:
             return
         choice = made.choice
-        told = AttemptShown(
+        told = AttemptReport(
             instance=made.instance,
             service=self.request.service.name,
             shown=shown,
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -7,7 +7,7 @@
 from godwitshunt.ingress.learning import Lessons, UpstreamAttempt
 from godwitshunt.ingress.outcomes import Lost, NotRun, Streamed
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing.upstream_health import UpstreamHealth
@@ -38,7 +38,7 @@
         connected='connect' not in getattr(outcome, 'reason', ''),
     )
     made = UpstreamAttempt(None, attempt, outcome, None, 0.1)
-    shown = AttemptShown('i-1', 'llm', made.shown)
+    shown = AttemptReport('i-1', 'llm', made.shown)
     learned = attempt_recorder(in_flight)
     learned.record(shown, SERVICE, now_s=1.0)
     detector = learned.upstreams.outliers.get('llm')
@@ -84,7 +84,7 @@
     learned = attempt_recorder(in_flight)
     speed = learned.upstreams.learned_speed(SERVICE)
     before_s = speed.token_s
-    made = AttemptShown(
+    made = AttemptReport(
         'i-1',
         'llm',
         Shown.answered,
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -11,7 +11,7 @@
 from godwitshunt.ingress.sending import Sender
 from godwitshunt.ingress.task import IngressTask
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamAnnounced
 from godwitshunt.routing.upstream_health import CONNECT_BACKOFF_S
@@ -98,7 +98,7 @@
     )
     if made.shown is not None:
         attempt_recorder.record(
-            AttemptShown('i-1', 'llm', made.shown), None, NOW_S
+            AttemptReport('i-1', 'llm', made.shown), None, NOW_S
         )
     health = upstreams.health_of('i-1')
     missed = (health.connect_failed_s, health.down_until_s)
@@ -112,5 +112,7 @@
     outcome = NotRun('status 421', arrived=True)
     made = UpstreamAttempt(None, attempt, outcome, None, 0.1)
     attempt_recorder = AttemptRecorder(Upstreams(), RegistryView, left.append)
-    attempt_recorder.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
+    attempt_recorder.record(
+        AttemptReport('i-1', 'llm', made.shown), None, NOW_S
+    )
     assert left == ['i-1']
--- a/godwitshunt/picking/attempt_recorder.py
+++ b/godwitshunt/picking/attempt_recorder.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from godwitshunt.manifest import Service
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, Shown
 from godwitshunt.picking.upstreams import Upstreams, of_service
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing import outliers
@@ -36,7 +36,7 @@
     leave: Callable[[str], None]
 
     def record(
-        self, made: AttemptShown, service: Service, now_s: float
+        self, made: AttemptReport, service: Service, now_s: float
     ) -> None:
         """Learn from one attempt."""
         health = self.upstreams.health_of(made.instance)
@@ -56,7 +56,7 @@
 
     def note_answer(
         self,
-        made: AttemptShown,
+        made: AttemptReport,
         service: Service,
         now_s: float,
     ) -> None:
@@ -94,7 +94,7 @@
 
     def record_outcome(
         self,
-        made: AttemptShown,
+        made: AttemptReport,
         outcome: outliers.AttemptOutcome,
         now_s: float,
     ) -> None:
--- a/godwitshunt/picking/attempt_reports.py
+++ b/godwitshunt/picking/attempt_reports.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class AttemptShown:
+class AttemptReport:
     """What one attempt showed of an upstream.
 
     Parameters
@@ -58,7 +58,7 @@
     was_held_up: bool = False
 
 
-def shown_to_wire(shown: Iterable[AttemptShown]) -> list[ttypes.AttemptShown]:
+def shown_to_wire(shown: Iterable[AttemptReport]) -> list[ttypes.AttemptShown]:
     """Return what attempts showed as structs."""
     return [
         ttypes.AttemptShown(
@@ -77,7 +77,7 @@
 
 def shown_from_wire(
     told: Iterable[ttypes.AttemptShown] | None,
-) -> list[AttemptShown]:
+) -> list[AttemptReport]:
     """Read what attempts showed.
 
     Raises
@@ -91,10 +91,10 @@
         raise FrameError(f'AttemptShown: {bad!r}') from None
 
 
-def read_shown(one: ttypes.AttemptShown) -> AttemptShown:
+def read_shown(one: ttypes.AttemptShown) -> AttemptReport:
     """Read what one attempt showed."""
     first_s = None if one.first_ms is None else one.first_ms / MILLISECONDS
-    return AttemptShown(
+    return AttemptReport(
         instance=one.instance,
         service=one.service_name,
         shown=Shown(one.shown),
