--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -14,7 +14,7 @@
     Streamed,
 )
 from godwitshunt.ingress.requests import RoutedRequest
-from godwitshunt.picking.attempt_reports import AttemptReport, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.choices import HandOver, SendHere
 from godwitshunt.registry import UpstreamAnnounced
 from godwitshunt.telemetry import log_change
@@ -52,22 +52,22 @@
         return self.choice.upstream.announcement.incarnation
 
     @property
-    def shown(self) -> Shown | None:
+    def shown(self) -> AttemptResult | None:
         """What it showed of the upstream; None for nothing at all."""
         match self.outcome:
             case _ if self.attempt.misdirected:
-                return Shown.replaced
+                return AttemptResult.replaced
             case None:
                 is_mute = self.first_s is None and self.took_s > MUTE_S
-                return Shown.nothing if is_mute else None
+                return AttemptResult.nothing if is_mute else None
             case _ if not self.attempt.connected:
-                return Shown.unreached
+                return AttemptResult.unreached
             case Answered() | Streamed() if self.first_s is not None:
-                return Shown.answered
+                return AttemptResult.answered
             case NotRun(arrived=True):
-                return Shown.full
+                return AttemptResult.full
             case Lost() | Failed():
-                return Shown.failed
+                return AttemptResult.failed
         return None
 
 
@@ -101,7 +101,7 @@
         now_s = self.context.timer.now()
         self.context.attempt_recorder.record(told, self.request.service, now_s)
         self.context.picker.report_attempt(told)
-        if shown is Shown.answered:
+        if shown is AttemptResult.answered:
             self.count_prompt(choice)
 
     def record_loss(self, made: UpstreamAttempt, lost: Lost) -> None:
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -7,7 +7,7 @@
 from godwitshunt.ingress.learning import Lessons, UpstreamAttempt
 from godwitshunt.ingress.outcomes import Lost, NotRun, Streamed
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
-from godwitshunt.picking.attempt_reports import AttemptReport, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing.upstream_health import UpstreamHealth
@@ -87,7 +87,7 @@
     made = AttemptReport(
         'i-1',
         'llm',
-        Shown.answered,
+        AttemptResult.answered,
         first_s=0.06,
         took_s=0.5,
         predicted_s=0.1,
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -11,7 +11,7 @@
 from godwitshunt.ingress.sending import Sender
 from godwitshunt.ingress.task import IngressTask
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
-from godwitshunt.picking.attempt_reports import AttemptReport, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamAnnounced
 from godwitshunt.routing.upstream_health import CONNECT_BACKOFF_S
@@ -91,7 +91,7 @@
     attempt = SimpleNamespace(misdirected=False, connected=connected)
     choice = SimpleNamespace(upstream=SimpleNamespace(announcement=TOLD))
     made = UpstreamAttempt(choice, attempt, NotRun('connect'), None, 0.1)
-    assert (made.shown is Shown.unreached) is not connected
+    assert (made.shown is AttemptResult.unreached) is not connected
     upstreams = Upstreams()
     attempt_recorder = AttemptRecorder(
         upstreams, RegistryView, lambda incarnation: None
--- a/godwitshunt/picking/attempt_recorder.py
+++ b/godwitshunt/picking/attempt_recorder.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from godwitshunt.manifest import Service
-from godwitshunt.picking.attempt_reports import AttemptReport, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.upstreams import Upstreams, of_service
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing import outliers
@@ -41,13 +41,13 @@
         """Learn from one attempt."""
         health = self.upstreams.health_of(made.instance)
         match made.shown:
-            case Shown.answered:
+            case AttemptResult.answered:
                 self.note_answer(made, service, now_s)
-            case Shown.replaced:
+            case AttemptResult.replaced:
                 self.leave(made.instance)
-            case Shown.unreached:
+            case AttemptResult.unreached:
                 health.record_connect_failure(now_s)
-            case Shown.full:
+            case AttemptResult.full:
                 health.full_until_s = now_s + FULL_BACKOFF_S
                 if self.has_room(made.instance):
                     self.record_outcome(made, outliers.Failed(), now_s)
--- a/godwitshunt/picking/attempt_reports.py
+++ b/godwitshunt/picking/attempt_reports.py
@@ -10,7 +10,7 @@
 MILLISECONDS = 1000
 
 
-class Shown(IntEnum):
+class AttemptResult(IntEnum):
     """What became of an attempt.
 
     `answered`: a whole answer came. `failed`: it broke off, or failed by
@@ -50,7 +50,7 @@
 
     instance: str
     service: str
-    shown: Shown
+    shown: AttemptResult
     first_s: float | None = None
     took_s: float = 0.0
     predicted_s: float = 0.0
@@ -97,7 +97,7 @@
     return AttemptReport(
         instance=one.instance,
         service=one.service_name,
-        shown=Shown(one.shown),
+        shown=AttemptResult(one.shown),
         first_s=first_s,
         took_s=one.took_ms / MILLISECONDS,
         predicted_s=one.predicted_ms / MILLISECONDS,
