--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/life.py
@@ -13,7 +13,7 @@
 from godwitshunt.exchange.requests import AnswerWriter
 from godwitshunt.ingress.attempt import ARRIVED_HEADER, QUARANTINED_HEADER
 from godwitshunt.ingress.context import IngressContext
-from godwitshunt.ingress.learning import place_of
+from godwitshunt.ingress.feedback import place_of
 from godwitshunt.ingress.outcomes import (
     Again,
     AttemptOutcome,
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -12,9 +12,9 @@
 from godwitshunt.ingress.attempt import Attempt, Patience
 from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.events import NumberedEvents
+from godwitshunt.ingress.feedback import Lessons, UpstreamAttempt
 from godwitshunt.ingress.headers import for_upstream
 from godwitshunt.ingress.hops import hop_request, host_of
-from godwitshunt.ingress.learning import Lessons, UpstreamAttempt
 from godwitshunt.ingress.outcomes import (
     AttemptOutcome,
     Failed,
