--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -64,7 +64,7 @@
         Whether what is known of keys still holds.
     random : random.Random
         Draws a service by the route's weights.
-    is_young : callable
+    is_warming_up : callable
         Returns whether the VM has started a moment ago, and news still comes.
     """
 
@@ -72,7 +72,7 @@
     active_revision: Callable[[], ActiveRevision | None]
     authorizer: Authorizer
     random: Random
-    is_young: Callable[[], bool] = never
+    is_warming_up: Callable[[], bool] = never
 
     async def admit(
         self,
@@ -119,7 +119,7 @@
         """
         if self.is_unknown_key(found):
             return True
-        return self.is_young() and is_problem(found, ProblemKind.unproven)
+        return self.is_warming_up() and is_problem(found, ProblemKind.unproven)
 
     def is_unknown_key(self, found: Result[RoutedRequest, Problem]) -> bool:
         """Tell whether a request was refused for its key."""
--- a/godwitshunt/ingress/lifecycle.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -218,7 +218,7 @@
     def may_wait_for_news(self, choice: Choice) -> bool:
         """Tell whether no upstream is known since the VM is young."""
         nowhere = isinstance(choice, NoPlace) and not choice.overloaded
-        return nowhere and self.context.watch.is_young
+        return nowhere and self.context.watch.is_warming_up
 
     async def choose(self) -> Choice:
         """Return where the request goes now, its budgets spent."""
--- a/godwitshunt/ingress/tests/test_authorization.py
+++ b/godwitshunt/ingress/tests/test_authorization.py
@@ -40,7 +40,7 @@
     news: ActiveRevision | None = None
     now_s: float = 100.0
     proof_s: float = 99.5
-    is_young: bool = False
+    is_warming_up: bool = False
     asked: int = 0
     authorizer: Authorizer = field(init=False)
 
@@ -56,7 +56,7 @@
             lambda: self.known,
             self.authorizer,
             Random(1),
-            lambda: self.is_young,
+            lambda: self.is_warming_up,
         )
 
     async def ask(self) -> None:
@@ -105,13 +105,15 @@
     assert found.err_value.kind is ProblemKind.unproven
 
 
-@pytest.mark.parametrize(('is_young', 'asks'), [(False, False), (True, True)])
+@pytest.mark.parametrize(
+    ('is_warming_up', 'asks'), [(False, False), (True, True)]
+)
 async def test_a_vm_without_proof_refuses_at_once_unless_it_is_young(
-    is_young,
+    is_warming_up,
     asks,
 ):
     """It is cut off; what it cannot serve must not be held."""
-    vm = Vm(active_revision(WARDS), proof_s=90.0, is_young=is_young)
+    vm = Vm(active_revision(WARDS), proof_s=90.0, is_warming_up=is_warming_up)
     found = await vm.admit()
     assert found.err_value.kind is ProblemKind.unproven
     assert bool(vm.asked) is asks
--- a/godwitshunt/ingress/tests/test_young_vm.py
+++ b/godwitshunt/ingress/tests/test_young_vm.py
@@ -20,9 +20,11 @@
 class Choosing(RequestLife):
     """A request whose choices a test has written down."""
 
-    def __init__(self, choices, *, is_young=True):
+    def __init__(self, choices, *, is_warming_up=True):
         self.choices = list(choices)
-        self.context = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
+        self.context = SimpleNamespace(
+            watch=SimpleNamespace(is_warming_up=is_warming_up)
+        )
 
     async def choose(self):
         """Return the next choice."""
@@ -35,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ('choices', 'is_young', 'left'),
+    ('choices', 'is_warming_up', 'left'),
     [
         ([NOWHERE, 'i-1', 'i-2'], True, 1),
         ([NOWHERE, NOWHERE, NOWHERE, NOWHERE, 'i-1'], True, 1),
@@ -45,7 +47,7 @@
 )
 async def test_a_request_waits_for_news_of_a_first_upstream(
     choices,
-    is_young,
+    is_warming_up,
     left,
 ):
     """After the start of all VMs a region hears of the others last.
@@ -54,7 +56,7 @@
     came back after their objective. One that finds full upstreams, or a VM
     that has known for long that there is none, is refused at once.
     """
-    request = Choosing(choices, is_young=is_young)
+    request = Choosing(choices, is_warming_up=is_warming_up)
     await request.choose_with_news()
     assert len(request.choices) == left
 
@@ -101,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    ('is_young', 'comes_after_s', 'waited', 'admitted'),
+    ('is_warming_up', 'comes_after_s', 'waited', 'admitted'),
     [
         (True, 0.01, True, True),
         (True, None, True, False),
@@ -110,7 +112,7 @@
 )
 async def test_a_request_just_before_the_first_revision_waits_for_it(
     monkeypatch,
-    is_young,
+    is_warming_up,
     comes_after_s,
     waited,
     admitted,
@@ -124,7 +126,9 @@
     task = IngressTask.__new__(IngressTask)
     task.active_revision = None
     task.configured = asyncio.Event()
-    task.context = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
+    task.context = SimpleNamespace(
+        watch=SimpleNamespace(is_warming_up=is_warming_up)
+    )
     if comes_after_s is not None:
         loop = asyncio.get_running_loop()
         loop.call_later(comes_after_s, task.configured.set)
