--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -125,7 +125,7 @@
     ) -> None:
         self.region = region
         self.control = control
-        self.own = own
+        self.own_state = own
         self.links = links
         self.timer = timer
         self.metrics = metrics
@@ -316,7 +316,7 @@
         contact = self.contacts.for_control(control)
         if control != self.contacts.first(known, now_s):
             return question_to_another(contact, self.merged)
-        own = self.own()
+        own = self.own_state()
         told = ToldFirst(
             own.record,
             own.report(contact.source),
