--- a/godwitshunt/routing/selection.py
+++ b/godwitshunt/routing/selection.py
@@ -110,22 +110,22 @@
     urgent: bool = False
     objective_s: float = 0.0
 
-    def unread_tokens(self, *, kept: bool) -> int:
+    def unread_tokens(self, *, cached: bool) -> int:
         """Return what reading the prompt takes, in tokens of a short one.
 
         Parameters
         ----------
-        kept : bool
+        cached : bool
             True where the upstream keeps the shared parts.
 
         Examples
         --------
-        >>> Demand(50_000, 25_000).unread_tokens(kept=True)
+        >>> Demand(50_000, 25_000).unread_tokens(cached=True)
         40375
-        >>> Demand(383, 92).unread_tokens(kept=False)
+        >>> Demand(383, 92).unread_tokens(cached=False)
         384
         """
-        shared = self.shared_tokens if kept else 0
+        shared = self.shared_tokens if cached else 0
         pairs = self.prompt_tokens**2 - shared**2
         return self.prompt_tokens - shared + round(PAIR_TOKENS * pairs)
 
@@ -228,7 +228,9 @@
     """Add to the cost what reading parts again costs others."""
     if ranked.candidate.cached:
         return ranked
-    parts = demand.unread_tokens(kept=False) - demand.unread_tokens(kept=True)
+    parts = demand.unread_tokens(cached=False) - demand.unread_tokens(
+        cached=True
+    )
     again_s = READ_AGAIN_WEIGHT * speed.reading_s(parts)
     return replace(ranked, cost_s=ranked.cost_s + again_s)
 
@@ -279,7 +281,7 @@
     owns: bool,
 ) -> RankedCandidate:
     """Return a candidate with its prediction and its cost."""
-    unread = demand.unread_tokens(kept=owns or candidate.cached)
+    unread = demand.unread_tokens(cached=owns or candidate.cached)
     ahead = URGENT_WAIT_SHARE if demand.urgent else 1.0
     waiting = unread + ahead * candidate.pending_tokens
     reading_s = speed.reading_s(waiting)
