--- a/godwitshunt/membership/task.py
+++ b/godwitshunt/membership/task.py
@@ -204,7 +204,7 @@
         """Count a request sent to an upstream of this region."""
         self.table.apply(Sent(upstream, tokens), self.timer.now())
 
-    def note_finished(self, upstream: str, tokens: int) -> None:
+    def record_finished(self, upstream: str, tokens: int) -> None:
         """Stop counting a request that is over."""
         self.table.apply(Finished(upstream, tokens), self.timer.now())
 
