--- a/godwitshunt/claims/stamps.py
+++ b/godwitshunt/claims/stamps.py
@@ -10,7 +10,7 @@
 from godwitshunt.claims.wire import standing_from_wire
 from godwitshunt.configuration.revision import HolderSet
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.jobs import BackgroundTasks
 from godwitshunt.peer import MessageKind, decode
 from godwitshunt.settings import NodeSettings
 from godwitshunt.timer import Subscription
@@ -39,7 +39,7 @@
         self.settings = settings
         self.links = links
         self.sets: tuple[HolderSet, ...] = ()
-        self.jobs = Jobs()
+        self.jobs = BackgroundTasks()
         self.subscriptions: list[Subscription] = []
 
     def start(self) -> None:
--- a/godwitshunt/membership/region_gossip.py
+++ b/godwitshunt/membership/region_gossip.py
@@ -18,7 +18,7 @@
     GossipSender,
     table_digest,
 )
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.jobs import BackgroundTasks
 from godwitshunt.membership.peers import RegionPeers
 from godwitshunt.membership.regions import RegionWatch
 from godwitshunt.membership.summaries import rendezvous_order
@@ -76,7 +76,7 @@
         self.transit = TransitClock(secrets.randbits(SESSION_BITS))
         self.sender = GossipSender()
         self.reader = GossipReader()
-        self.jobs = Jobs()
+        self.jobs = BackgroundTasks()
         self.subscriptions: list[Subscription] = []
         self.leaving = False
         self.flushed_s = float('-inf')
--- a/godwitshunt/membership/regions.py
+++ b/godwitshunt/membership/regions.py
@@ -7,7 +7,7 @@
 from godwitshunt.exceptions import FrameError
 from godwitshunt.membership.events import MILLISECONDS
 from godwitshunt.membership.gen.wire.ttypes import Summary
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.jobs import BackgroundTasks
 from godwitshunt.membership.peers import RegionPeers
 from godwitshunt.membership.summaries import (
     RegionReport,
@@ -51,7 +51,7 @@
         self.timer = timer
         self.metrics = metrics
         self.table = RegionTable()
-        self.jobs = Jobs()
+        self.jobs = BackgroundTasks()
         self.notices: list[Callable[[RegionReport], None]] = []
 
     def subscribe(self, notice: Callable[[RegionReport], None]) -> None:
