--- a/godwitshunt/claims/ballots.py
+++ b/godwitshunt/claims/ballots.py
@@ -39,7 +39,7 @@
 )
 from godwitshunt.claims.wire import holder_answer_from_wire, request_to_wire
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import BackgroundTasks
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics
--- a/godwitshunt/claims/holder_peers.py
+++ b/godwitshunt/claims/holder_peers.py
@@ -18,7 +18,7 @@
 from godwitshunt.claims.wire import standing_from_wire, standing_to_wire
 from godwitshunt.configuration.revision import HolderSet
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import BackgroundTasks
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics, log_change
--- a/godwitshunt/claims/stamps.py
+++ b/godwitshunt/claims/stamps.py
@@ -10,7 +10,7 @@
 from godwitshunt.claims.wire import standing_from_wire
 from godwitshunt.configuration.revision import HolderSet
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import BackgroundTasks
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, decode
 from godwitshunt.settings import NodeSettings
 from godwitshunt.timer import Subscription
--- a/godwitshunt/claims/task.py
+++ b/godwitshunt/claims/task.py
@@ -23,7 +23,7 @@
 from godwitshunt.claims.verdicts import Attempt, Finish, Release, Verdict
 from godwitshunt.configuration.revision import HolderSet, Revision
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import BackgroundTasks
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import NodeSettings
 from godwitshunt.telemetry import Metrics
--- a/godwitshunt/membership/region_gossip.py
+++ b/godwitshunt/membership/region_gossip.py
@@ -6,6 +6,7 @@
 from result import Err
 
 from godwitshunt.exceptions import FrameError
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.membership.events import (
     DetailsMissing,
     Tick,
@@ -18,7 +19,6 @@
     GossipSender,
     table_digest,
 )
-from godwitshunt.membership.jobs import BackgroundTasks
 from godwitshunt.membership.peers import RegionPeers
 from godwitshunt.membership.regions import RegionWatch
 from godwitshunt.membership.summaries import rendezvous_order
--- a/godwitshunt/membership/regions.py
+++ b/godwitshunt/membership/regions.py
@@ -5,9 +5,9 @@
 from result import Ok
 
 from godwitshunt.exceptions import FrameError
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.membership.events import MILLISECONDS
 from godwitshunt.membership.gen.wire.ttypes import Summary
-from godwitshunt.membership.jobs import BackgroundTasks
 from godwitshunt.membership.peers import RegionPeers
 from godwitshunt.membership.summaries import (
     RegionReport,
