--- a/godwitshunt/membership/region_gossip.py
+++ b/godwitshunt/membership/region_gossip.py
@@ -76,7 +76,7 @@
         self.transit = TransitClock(secrets.randbits(SESSION_BITS))
         self.sender = GossipSender()
         self.reader = GossipReader()
-        self.jobs = BackgroundTasks()
+        self.background_tasks = BackgroundTasks()
         self.subscriptions: list[Subscription] = []
         self.leaving = False
         self.flushed_s = float('-inf')
@@ -100,7 +100,7 @@
         """Send no more."""
         for subscription in self.subscriptions:
             subscription.cancel()
-        await self.jobs.close()
+        await self.background_tasks.close()
 
     def follow_peers(self, known: frozenset[str]) -> None:
         """Follow a change of the region's VMs.
@@ -116,7 +116,7 @@
         # all of them, so that it need not wait for their announcements.
         if not known and names and not self.table.records:
             first = rendezvous_order(names, self.peers.name)[0]
-            self.jobs.run(self.fetch(first, own_only=False))
+            self.background_tasks.run(self.fetch(first, own_only=False))
 
     def leave(self) -> None:
         """Tell the region that this VM takes no new requests."""
@@ -250,7 +250,7 @@
         if now_s - self.fetched_s.get(peer, float('-inf')) < FETCH_PAUSE_S:
             return
         self.fetched_s[peer] = now_s
-        self.jobs.run(self.fetch(peer, own_only=own_only))
+        self.background_tasks.run(self.fetch(peer, own_only=own_only))
 
     async def fetch(self, peer: str, *, own_only: bool) -> None:
         """Fetch and apply a peer's table."""
