--- a/godwitshunt/membership/region_gossip.py
+++ b/godwitshunt/membership/region_gossip.py
@@ -118,7 +118,7 @@
             first = rendezvous_order(names, self.peers.name)[0]
             self.background_tasks.run(self.fetch(first, own_only=False))
 
-    def leave(self) -> None:
+    def announce_draining(self) -> None:
         """Tell the region that this VM takes no new requests."""
         self.leaving = True
         self.flush()
--- a/godwitshunt/membership/task.py
+++ b/godwitshunt/membership/task.py
@@ -208,9 +208,9 @@
         """Stop counting a request that is over."""
         self.table.apply(Finished(upstream, tokens), self.timer.now())
 
-    def leave(self) -> None:
+    def announce_draining(self) -> None:
         """Tell the region that this VM takes no new requests."""
-        self.gossip.leave()
+        self.gossip.announce_draining()
 
     def absent_vms(self) -> frozenset[str]:
         """Return the region's VMs that drain or are not heard of."""
--- a/godwitshunt/membership/tests/test_task.py
+++ b/godwitshunt/membership/tests/test_task.py
@@ -99,7 +99,7 @@
     assert (summary.free_slots, summary.slots) == (4, 4)
     assert [name for name, _ in summary.vms] == ['a', 'b', 'c']
     assert summary.round_trip_s == pytest.approx(0.005, abs=0.004)
-    region.tasks['b'].leave()
+    region.tasks['b'].announce_draining()
     await region.announce('a', 5, first=5)
     summary = region.tasks['z'].view(0).summaries[0]
     assert [name for name, _ in summary.vms] == ['a', 'c']
