--- a/godwitshunt/membership/region_gossip.py
+++ b/godwitshunt/membership/region_gossip.py
@@ -123,7 +123,7 @@
         self.leaving = True
         self.flush()
 
-    def absent_vms(self) -> frozenset[str]:
+    def unavailable_vms(self) -> frozenset[str]:
         """Return the region's VMs that drain or are not heard of."""
         absent = self.peers.absent(self.transit.heard, self.timer.now())
         if self.leaving:
--- a/godwitshunt/programs/entry_ports.py
+++ b/godwitshunt/programs/entry_ports.py
@@ -159,5 +159,5 @@
             revision.vms,
             self.region,
             caller,
-            draining=self.membership.absent_vms(),
+            draining=self.membership.unavailable_vms(),
         )
