--- a/godwitshunt/registry/__init__.py
+++ b/godwitshunt/registry/__init__.py
@@ -1,4 +1,8 @@
-"""Who serves: upstreams and entry VMs, heard by control, polled by entries."""
+"""Registry of upstreams and entry VMs.
+
+Control VMs receive announcements and polls; entry VMs poll control VMs for
+changes.
+"""
 
 from godwitshunt.registry.entries import EntryTable
 from godwitshunt.registry.records import EntryRecord, Load, UpstreamAnnounced
--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -1,8 +1,8 @@
-"""The tables of all control VMs, as one of them holds them.
+"""A control VM's copies of the tables of all control VMs.
 
-Control VMs ask each other a few times a second for what is new. Each tells
-its own table, and what it knows of the others'; so news passes around a cut
-between two of them.
+Control VMs poll each other a few times a second. Each sends changes of its own
+table and of its copies of the others', so that updates are relayed around a
+network failure between two of them.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -23,50 +23,50 @@
 from godwitshunt.registry.table_updates import (
     ControlLocation,
     Scope,
-    relayed_news,
+    relayed_update,
 )
 from godwitshunt.registry.views import RegistryView
 from godwitshunt.registry.wire import (
-    address_of,
+    address_from_wire,
     prefixes_from_wire,
 )
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import log_change
 from godwitshunt.timer import Subscription, Timer
 
-# The requests of other regions are as old as this and the way; a picker sends
-# long prompts there by them.
+# The loads of other regions are as old as this period and the network delay; a
+# picker forwards long prompts to other regions by them.
 PEER_POLL_PERIOD_S = 0.2
-TIMEOUT_S = 0.8
-# A control VM whose table has not come from itself for so long is asked for
-# at the others, too: three periods and the way between two regions.
+PEER_POLL_TIMEOUT_S = 0.8
+# If a control VM has not sent its own table for this long, three periods and
+# the delay between two regions, the other control VMs are polled for it, too.
 RELAY_POLL_AFTER_S = 0.75
-# An entry VM of the region needs no longer than this to tell a table.
-LONGEST_WAY_S = 0.1
-# Requests at upstreams that were told longer ago than this say nothing.
-LOADS_KEPT_S = 3.0
-# Where another control VM of the own region falls silent, its entry VMs report
-# here: counted with what it told last, they would be counted twice, and the
-# region's upstreams be taken for full. So that counts no longer than it takes
-# them to move: a question without answer and a poll.
+# Upper bound of the delay of a table that an entry VM of the region sends.
+MAX_ENTRY_DELAY_S = 0.1
+# Loads of upstreams that are older than this are ignored.
+LOADS_TTL_S = 3.0
+# If another control VM of the same region stops answering, its entry VMs report
+# here. Its last loads would then be counted twice and make the region's
+# upstreams appear full, so they are used only for as long as the entry VMs need
+# to move: an unanswered request to the picker and a poll.
 LOCAL_LOADS_TTL_S = 0.6
 
 
 class ControlTables:
-    """Asks the other control VMs and keeps their tables beside the own one.
+    """Polls the other control VMs and merges their tables with the own one.
 
     Parameters
     ----------
     location : ControlLocation
-        Where this control VM stands, and which others there are.
+        Address and region of this control VM, and the other control VMs.
     prefixes : PrefixTable
-        Takes what others were told of kept prompts by entry VMs.
+        Receives the cached prefixes that entry VMs reported to the others.
     quarantine : Quarantine
-        Takes what others know of suspected requests.
+        Receives the suspected requests known to the others.
     links : PeerLinks
-        To the other control VMs.
+        Links to the other control VMs.
     timer : Timer
-        Monotonic time and the period.
+        Monotonic time and periodic calls.
     """
 
     def __init__(
@@ -85,44 +85,44 @@
         self.merged = MergedTables(location.regions)
         self.contacts: dict[str, ControlContact] = {}
         self.summed: Mapping[str, Load] = {}
-        self.summed_of: tuple[tuple[str, float], ...] = ()
+        self.summed_inputs: tuple[tuple[str, float], ...] = ()
         self.background = Background()
         self.subscription: Subscription | None = None
 
     def start(self) -> None:
-        """Begin to ask."""
-        self.subscription = self.timer.every(PEER_POLL_PERIOD_S, self.ask_all)
-        self.ask_all()
+        """Start polling."""
+        self.subscription = self.timer.every(PEER_POLL_PERIOD_S, self.poll_all)
+        self.poll_all()
 
     async def close(self) -> None:
-        """Ask no more."""
+        """Stop polling."""
         if self.subscription is not None:
             self.subscription.cancel()
         await self.background.close()
 
     @property
     def own_name(self) -> str:
-        """Name of this control VM among the tables."""
+        """Key of this control VM's own table."""
         return str(self.location.address)
 
-    def ask_all(self) -> None:
-        """Ask every other control VM that is not being asked."""
+    def poll_all(self) -> None:
+        """Poll every other control VM, unless a poll is in progress."""
         for address in self.location.others():
             if address != self.location.address:
-                self.background.run(str(address), partial(self.ask, address))
+                self.background.run(str(address), partial(self.poll, address))
 
-    async def ask(self, address: Address) -> None:
-        """Ask one control VM for what is new."""
+    async def poll(self, address: Address) -> None:
+        """Request changes from one control VM."""
         control = str(address)
         contact = self.contacts.setdefault(control, ControlContact())
         sent_s = self.timer.now()
         poll = ttypes.Poll(
-            held=self.merged.held(),
+            held=self.merged.held_versions(),
             prefixes=[],
             newer=[],
             prefixes_version=contact.prefixes_version,
             wants_loads=True,
-            scope=Scope.all if self.misses_any(sent_s) else Scope.own,
+            scope=Scope.all if self.has_stale_table(sent_s) else Scope.own,
             from_control=True,
             suspects=[],
             suspects_version=contact.suspects_version,
@@ -131,36 +131,45 @@
             address,
             MessageKind.registry_poll,
             encode(poll),
-            TIMEOUT_S,
+            PEER_POLL_TIMEOUT_S,
         )
         if isinstance(reply, Err):
-            self.note_lost(control, contact, type(reply.err_value).__name__)
+            self.record_failure(
+                control,
+                contact,
+                type(reply.err_value).__name__,
+            )
             return
-        if contact.fails:
+        if contact.is_failing:
             log_change('registry:peer_control_back', control=control)
-        self.take(control, decode(ttypes.PollReply, reply.ok_value), sent_s)
+        self.apply_reply(
+            control,
+            decode(ttypes.PollReply, reply.ok_value),
+            sent_s,
+        )
 
-    def misses_any(self, now_s: float) -> bool:
-        """Tell whether a control VM's table is old here.
+    def has_stale_table(self, now_s: float) -> bool:
+        """Return whether the copy of a control VM's table is stale.
 
-        Its own way here is cut, or it is gone; the others may know more. In
-        calm each table comes from its control VM alone: asked of all, news
-        of 195 entry VMs crossed between regions four times.
+        That control VM is unreachable from here or down; the others may hold a
+        newer copy. Otherwise each table is requested only from its own control
+        VM: requested from all, the changes of 195 entry VMs crossed between
+        regions four times.
         """
         return any(
-            now_s - table.answered_s > RELAY_POLL_AFTER_S
+            now_s - table.asof_s > RELAY_POLL_AFTER_S
             for control, table in self.merged.tables.items()
             if control != self.own_name
         )
 
-    def note_lost(
+    def record_failure(
         self,
         control: str,
         contact: ControlContact,
         reason: str,
     ) -> None:
-        """Log the first of several calls without answer."""
-        if not contact.fails:
+        """Record an unanswered call; log the first of several."""
+        if not contact.is_failing:
             log_change(
                 'registry:peer_control_lost',
                 control=control,
@@ -168,51 +177,52 @@
             )
         contact.record_failure()
 
-    def take(
+    def apply_reply(
         self,
         control: str,
         message: ttypes.PollReply,
         sent_s: float,
     ) -> None:
-        """Take what a control VM tells."""
+        """Apply the reply of a control VM."""
         now_s = self.timer.now()
         contact = self.contacts.setdefault(control, ControlContact())
         is_known = message.source == contact.source
-        contact.answer(message.source, sent_s, now_s)
-        for news in message.tables or ():
-            self.take_table(news, sent_s, now_s)
-        self.prefixes.take(prefixes_from_wire(message.prefixes, now_s))
+        contact.record_answer(message.source, sent_s, now_s)
+        for update in message.tables or ():
+            self.apply_update(update, sent_s, now_s)
+        self.prefixes.record_all(prefixes_from_wire(message.prefixes, now_s))
         self.quarantine.join(suspects_from_wire(message.suspects, now_s))
         if is_known:
             contact.prefixes_version = message.prefixes_version
             contact.suspects_version = message.suspects_version or 0
 
-    def take_table(
+    def apply_update(
         self,
-        news: ttypes.TableNews,
+        update: ttypes.TableNews,
         sent_s: float,
         now_s: float,
     ) -> None:
-        """Take what is told of one control VM's table, but of the own one."""
-        whose = self.merged.of_source(news.source)
-        if news.control is not None:
-            whose = str(address_of(news.control))
-        if whose != self.own_name:
-            self.merged.take(news, sent_s, now_s)
-
-    def take_newer(self, told: Iterable[ttypes.TableNews]) -> None:
-        """Take tables that an entry VM holds as newer ones.
-
-        Control VMs may be cut off from one another while entry VMs reach all
-        of them. A region's picker that knows no entry VM of another region
-        has no door to it, and refuses what only that region may serve.
+        """Apply an update, unless it is of this control VM's own table."""
+        control = self.merged.control_of_source(update.source)
+        if update.control is not None:
+            control = str(address_from_wire(update.control))
+        if control != self.own_name:
+            self.merged.apply(update, sent_s, now_s)
+
+    def apply_newer(self, updates: Iterable[ttypes.TableNews]) -> None:
+        """Apply updates of tables that are newer at an entry VM.
+
+        Control VMs may be unable to reach one another while entry VMs reach
+        all of them. A picker that knows no entry VM of another region cannot
+        forward requests to it and would reject those that only that region may
+        serve.
         """
         now_s = self.timer.now()
-        for news in told:
-            self.take_table(news, now_s - LONGEST_WAY_S, now_s)
+        for update in updates:
+            self.apply_update(update, now_s - MAX_ENTRY_DELAY_S, now_s)
 
-    def held_own(self) -> ttypes.TableHeld | None:
-        """Return which version of the own table stands beside the others."""
+    def held_own_version(self) -> ttypes.TableHeld | None:
+        """Return the version of the own table in the merged tables."""
         table = self.merged.tables.get(self.own_name)
         if table is None:
             return None
@@ -222,30 +232,30 @@
             table.entries_version,
         )
 
-    def take_own(self, news: ttypes.TableNews) -> None:
-        """Put news of the own table beside the others'."""
+    def apply_own(self, update: ttypes.TableNews) -> None:
+        """Apply an update of the own table."""
         now_s = self.timer.now()
-        self.merged.take(news, now_s, now_s)
+        self.merged.apply(update, now_s, now_s)
 
-    def news(
+    def updates(
         self,
         held: Mapping[str, ttypes.TableHeld],
         now_s: float,
         *,
         with_loads: bool,
     ) -> Iterator[ttypes.TableNews]:
-        """Give what is new in the other control VMs' tables.
+        """Yield the changes in the other control VMs' tables.
 
         Parameters
         ----------
         held : mapping
-            What whoever asks holds, by the control VM's process.
+            Versions that the receiver holds, by the control VM's process.
         with_loads : bool
-            True where requests at upstreams are told as well.
+            True to include the loads of upstreams.
         """
         for control, table in self.merged.tables.items():
             if control != self.own_name and table.source:
-                yield relayed_news(
+                yield relayed_update(
                     table,
                     held.get(table.source),
                     now_s,
@@ -253,29 +263,30 @@
                 )
 
     def loads(self, now_s: float) -> Mapping[str, Load]:
-        """Return what other control VMs told of requests, of late, in sum."""
-        telling = {
+        """Return the sum of the other control VMs' recent loads."""
+        recent = {
             control: table
             for control, table in self.merged.tables.items()
             if control != self.own_name
-            and now_s - table.loads_asof_s <= self.kept_s(control)
+            and now_s - table.loads_asof_s <= self.loads_ttl_s(control)
         }
-        of = tuple(
-            (control, one.loads_asof_s) for control, one in telling.items()
+        inputs = tuple(
+            (control, recent_table.loads_asof_s)
+            for control, recent_table in recent.items()
         )
-        if of != self.summed_of:
-            self.summed_of = of
-            parts = tuple(table.loads for table in telling.values())
+        if inputs != self.summed_inputs:
+            self.summed_inputs = inputs
+            parts = tuple(table.loads for table in recent.values())
             self.summed = dict(SummedLoads(parts))
         return self.summed
 
-    def kept_s(self, control: str) -> float:
-        """Return for how long the requests that one told count."""
-        is_here = self.region_of(control) == self.location.region
-        return LOCAL_LOADS_TTL_S if is_here else LOADS_KEPT_S
+    def loads_ttl_s(self, control: str) -> float:
+        """Return how long the loads of a control VM are used."""
+        is_local = self.region_of(control) == self.location.region
+        return LOCAL_LOADS_TTL_S if is_local else LOADS_TTL_S
 
     def region_loads_asof_s(self, region: str) -> float:
-        """Return what time a region's requests were told as of."""
+        """Return when a region's newest loads were current."""
         return max(
             (
                 table.loads_asof_s
@@ -286,7 +297,7 @@
         )
 
     def round_trip_s(self, region: str) -> float | None:
-        """Return the seconds to a region's control VMs; None if not known."""
+        """Return the round trip to a region's control VMs; None if unknown."""
         return min(
             (
                 contact.round_trip_s
@@ -297,12 +308,12 @@
         )
 
     def region_of(self, control: str) -> str:
-        """Return where a control VM stands; empty where that is not known."""
+        """Return the region of a control VM; empty if unknown."""
         table = self.merged.tables.get(control)
         return '' if table is None else table.region
 
     def controls_in_region(self, region: str) -> list[str]:
-        """Return the control VMs that stand in a region."""
+        """Return the control VMs of a region."""
         return [
             control
             for control, table in self.merged.tables.items()
@@ -310,13 +321,13 @@
         ]
 
     def view(self) -> RegistryView:
-        """Return the joined view; the own table is always as of now."""
+        """Return the merged view; the own table is always current."""
         now_s = self.timer.now()
-        own_name = self.merged.tables.get(self.own_name)
-        if own_name is not None:
-            own_name.answered_s = now_s
+        own = self.merged.tables.get(self.own_name)
+        if own is not None:
+            own.asof_s = now_s
         return self.merged.view(now_s)
 
     def mark_replaced(self, incarnation: str) -> None:
-        """Note that another upstream answers at an incarnation's address."""
+        """Record that another upstream answers at an incarnation's address."""
         self.merged.mark_replaced(incarnation, self.timer.now())
--- a/godwitshunt/registry/ledger.py
+++ b/godwitshunt/registry/ledger.py
@@ -1,10 +1,10 @@
-"""The requests of many entry VMs at upstreams, as one process adds them up.
+"""Accounting of the requests that entry VMs have at upstreams.
 
-Entry VMs report all of their own requests each time, so that a report that is
-lost, or a process that starts anew, costs no more than the time to the next
-one. A place that was given and that no report holds yet counts besides; so
-two requests that ask for a place in the same millisecond are never given the
-same free slot. Pure; times are seconds on this VM's monotonic clock.
+An entry VM reports all of its requests each time, so that a lost report or a
+restarted process causes an error only until the next report. A reservation
+that no report includes yet is counted in addition; so two concurrent requests
+are never assigned the same free slot. No I/O; times are seconds on this VM's
+monotonic clock.
 """
 
 from collections import deque
@@ -13,10 +13,10 @@
 
 from godwitshunt.registry.records import Load
 
-# A place is part of its entry VM's reports within a few hundredths of a
-# second. One that is part of none after this was never heard of: its answer
-# was lost, or its asker gave up on it, and it must not block a slot for ever.
-GIVEN_EXPIRES_S = 1.0
+# An entry VM's reports include a reservation within a few hundredths of a
+# second. If none has by this time, the reply was lost or the entry VM gave up
+# waiting for it, and the reservation must not block a slot any longer.
+RESERVATION_TTL_S = 1.0
 NO_LOAD = Load()
 
 
@@ -27,10 +27,10 @@
     Parameters
     ----------
     oldest_s : float or None
-        When the oldest of those that have shown nothing was sent; None for
-        none.
+        When the oldest request without a response so far was sent; None if
+        there is none.
     last_received_s : float or None
-        When bytes last came from the upstream; None for never.
+        When bytes last arrived from the upstream; None if never.
     """
 
     load: Load
@@ -45,44 +45,44 @@
     Parameters
     ----------
     session : str
-        Drawn at each start of the entry VM's process.
+        Random identifier, new at each start of the entry VM's process.
     number : int
         Rises with each report of a session.
     loads : mapping
-        By incarnation.
-    places_taken : int
-        The last place of this ledger's that the loads hold.
+        Load by incarnation.
+    last_reservation : int
+        Number of this ledger's last reservation that the loads include.
     """
 
     session: str
     number: int
     loads: Mapping[str, ReportedLoad]
-    places_taken: int = 0
+    last_reservation: int = 0
 
 
 @dataclass(frozen=True)
-class GivenPlace:
-    """A place that was given and that no report holds yet."""
+class Reservation:
+    """A slot that was assigned and that no report includes yet."""
 
     number: int
     instance: str
     load: Load
-    given_s: float
+    reserved_s: float
 
 
 @dataclass
 class EntryLoads:
-    """What one entry VM reported, and what it was given since."""
+    """An entry VM's last report and its reservations since."""
 
     session: str = ''
     number: int = 0
     loads: Mapping[str, ReportedLoad] = field(default_factory=dict)
-    given: deque[GivenPlace] = field(default_factory=deque)
+    reservations: deque[Reservation] = field(default_factory=deque)
 
 
 @dataclass
 class LoadLedger:
-    """Requests at each upstream, of all entry VMs that report here.
+    """Load of each upstream, summed over the entry VMs that report here.
 
     Examples
     --------
@@ -90,8 +90,8 @@
     >>> number = ledger.reserve('e-1', 'i-1', tokens=300, now_s=5.0)
     >>> ledger.totals['i-1']
     Load(in_flight=1, pending_tokens=300)
-    >>> held = {'i-1': ReportedLoad(Load(1, 300))}
-    >>> ledger.report('e-1', Report('s', 1, held, number))
+    >>> loads = {'i-1': ReportedLoad(Load(1, 300))}
+    >>> ledger.apply_report('e-1', Report('s', 1, loads, number))
     True
     >>> ledger.totals['i-1']
     Load(in_flight=1, pending_tokens=300)
@@ -99,22 +99,22 @@
 
     entries: dict[str, EntryLoads] = field(default_factory=dict)
     totals: dict[str, Load] = field(default_factory=dict)
-    places: int = 0
+    last_number: int = 0
 
-    def report(self, name: str, report: Report) -> bool:
-        """Take a report; False for one that a later one has overtaken."""
+    def apply_report(self, name: str, report: Report) -> bool:
+        """Apply a report; return False if a later one was applied before."""
         known = self.entries.setdefault(name, EntryLoads())
-        taken = report.places_taken
+        included = report.last_reservation
         if known.session != report.session:
-            # The process before this one has ended, and with it its requests.
+            # The previous process has ended, and its requests with it.
             known.session = report.session
-            taken = self.places
+            included = self.last_number
         elif report.number <= known.number:
             return False
         known.number = report.number
-        self.put(known, report.loads)
-        while known.given and known.given[0].number <= taken:
-            self.take_back(known.given.popleft())
+        self.replace_loads(known, report.loads)
+        while known.reservations and known.reservations[0].number <= included:
+            self.release(known.reservations.popleft())
         return True
 
     def reserve(
@@ -124,83 +124,93 @@
         tokens: int,
         now_s: float,
     ) -> int:
-        """Count a place that an entry VM is given; return its number."""
-        self.places += 1
-        place = GivenPlace(self.places, instance, Load(1, tokens), now_s)
-        self.entries.setdefault(name, EntryLoads()).given.append(place)
-        self.totals[instance] = self.total(instance) + place.load
-        return place.number
-
-    def tick(self, now_s: float) -> tuple[GivenPlace, ...]:
-        """Drop places that nobody took; return them."""
+        """Reserve a slot for an entry VM; return the reservation's number."""
+        self.last_number += 1
+        reservation = Reservation(
+            self.last_number,
+            instance,
+            Load(1, tokens),
+            now_s,
+        )
+        self.entries.setdefault(name, EntryLoads()).reservations.append(
+            reservation,
+        )
+        self.totals[instance] = self.total(instance) + reservation.load
+        return reservation.number
+
+    def tick(self, now_s: float) -> tuple[Reservation, ...]:
+        """Release the reservations that expired unused; return them."""
         expired = []
         for known in self.entries.values():
-            while known.given and is_expired(known.given[0], now_s):
-                expired.append(known.given.popleft())
-        for place in expired:
-            self.take_back(place)
+            while known.reservations and is_expired(
+                known.reservations[0],
+                now_s,
+            ):
+                expired.append(known.reservations.popleft())
+        for reservation in expired:
+            self.release(reservation)
         return tuple(expired)
 
-    def forget(self, name: str) -> None:
-        """Drop an entry VM that is not heard any more."""
+    def remove_entry(self, name: str) -> None:
+        """Remove an entry VM that no longer reports here."""
         known = self.entries.pop(name, None)
         if known is not None:
-            self.put(known, {})
-            for place in known.given:
-                self.take_back(place)
+            self.replace_loads(known, {})
+            for reservation in known.reservations:
+                self.release(reservation)
 
-    def put(
+    def replace_loads(
         self,
         known: EntryLoads,
         loads: Mapping[str, ReportedLoad],
     ) -> None:
-        """Put an entry VM's new requests in the place of its old ones."""
+        """Replace an entry VM's reported loads in the totals."""
         before = known.loads
         known.loads = loads
-        for instance, one in loads.items():
-            self.totals[instance] = self.total(instance) + one.load
-        for instance, one in before.items():
-            self.subtract(instance, one.load)
+        for instance, reported in loads.items():
+            self.totals[instance] = self.total(instance) + reported.load
+        for instance, reported in before.items():
+            self.subtract(instance, reported.load)
 
-    def take_back(self, place: GivenPlace) -> None:
-        """Count a given place no more."""
-        self.subtract(place.instance, place.load)
+    def release(self, reservation: Reservation) -> None:
+        """Remove a reservation from the totals."""
+        self.subtract(reservation.instance, reservation.load)
 
     def subtract(self, instance: str, load: Load) -> None:
-        """Take requests from an upstream's sum."""
-        left = self.total(instance) - load
-        if left == NO_LOAD:
+        """Subtract a load from an upstream's total."""
+        remaining = self.total(instance) - load
+        if remaining == NO_LOAD:
             self.totals.pop(instance, None)
         else:
-            self.totals[instance] = left
+            self.totals[instance] = remaining
 
     def total(self, instance: str) -> Load:
-        """Return the requests of all entry VMs at an upstream."""
+        """Return the load of an upstream by all entry VMs."""
         return self.totals.get(instance, NO_LOAD)
 
     def totals_without(self, name: str) -> Iterator[tuple[str, Load]]:
-        """Give the requests of all entry VMs but one at each upstream."""
+        """Yield the load of each upstream by all entry VMs but one."""
         own = self.entries.get(name, EntryLoads()).loads
         for instance, total in self.totals.items():
-            mine = own.get(instance)
-            others = total if mine is None else total - mine.load
+            own_load = own.get(instance)
+            others = total if own_load is None else total - own_load.load
             if others != NO_LOAD:
                 yield instance, others
 
 
-def is_expired(place: GivenPlace, now_s: float) -> bool:
-    """Tell whether a place was given so long ago that nobody took it."""
-    return now_s - place.given_s > GIVEN_EXPIRES_S
+def is_expired(reservation: Reservation, now_s: float) -> bool:
+    """Return whether a reservation is older than `RESERVATION_TTL_S`."""
+    return now_s - reservation.reserved_s > RESERVATION_TTL_S
 
 
 @dataclass(frozen=True)
 class SummedLoads(Mapping[str, Load]):
-    """Several processes' sums of requests at upstreams, added up when asked.
+    """Sum of several processes' totals, added up on access.
 
     Parameters
     ----------
     parts : tuple of mapping
-        Sums by incarnation.
+        Totals by incarnation.
 
     Examples
     --------
@@ -212,10 +222,10 @@
     parts: tuple[Mapping[str, Load], ...]
 
     def __getitem__(self, instance: str) -> Load:
-        found = [part[instance] for part in self.parts if instance in part]
-        if not found:
+        loads = [part[instance] for part in self.parts if instance in part]
+        if not loads:
             raise KeyError(instance)
-        return found[0] if len(found) == 1 else add(found)
+        return loads[0] if len(loads) == 1 else sum_loads(loads)
 
     def __iter__(self) -> Iterator[str]:
         return iter({name for part in self.parts for name in part})
@@ -224,6 +234,6 @@
         return len({name for part in self.parts for name in part})
 
 
-def add(loads: Iterable[Load]) -> Load:
-    """Return the sum of loads."""
+def sum_loads(loads: Iterable[Load]) -> Load:
+    """Return the sum of several loads."""
     return sum(loads, start=NO_LOAD)
--- a/godwitshunt/registry/merged_tables.py
+++ b/godwitshunt/registry/merged_tables.py
@@ -1,39 +1,46 @@
-"""The tables of several control VMs, joined by an entry VM; pure."""
+"""The tables of several control VMs, merged into one view.
+
+No I/O; times are seconds on this VM's monotonic clock.
+"""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 from math import floor
 
 from godwitshunt.registry.gen.wire import ttypes
+from godwitshunt.registry.incarnations import (
+    EndedIncarnation,
+    EndedIncarnations,
+)
 from godwitshunt.registry.records import EntryRecord, UpstreamAnnounced
-from godwitshunt.registry.starts import EndedStart, EndedStarts
 from godwitshunt.registry.views import (
     ControlTable,
-    HeardUpstream,
     RegistryView,
+    ReportedUpstream,
     UpstreamSeen,
 )
-from godwitshunt.registry.wire import MILLISECONDS, address_of
+from godwitshunt.registry.wire import MILLISECONDS, address_from_wire
 
-# Incarnations that another upstream replaced are remembered for so long, above
-# the time for which a control VM still tells of them.
-GONE_KEPT_S = 150.0
-# What is held for a late word now may be believed later without any news.
-REJOINED_AFTER_S = 5.0
+# How long replaced incarnations are remembered: longer than a control VM goes
+# on reporting them.
+REPLACED_TTL_S = 150.0
+# The view is merged again after this time without any update, as an
+# announcement held back as a late one may by then be accepted.
+REMERGE_PERIOD_S = 5.0
 
 
 @dataclass(frozen=True)
 class MergeInputs:
-    """What a joined view was made of.
+    """The inputs of a merged view.
 
     Parameters
     ----------
     changes : int
-        Replies with news, so far.
+        Replies with changes so far.
     fresh : tuple of str
-        Control VMs that had answered of late.
+        Control VMs with a fresh table.
     period : int
-        Time in units of `REJOINED_AFTER_S`.
+        Time in units of `REMERGE_PERIOD_S`.
     """
 
     changes: int
@@ -42,280 +49,313 @@
 
 
 @dataclass(frozen=True)
-class TakenNews:
-    """Whose table news was of, and the starts of upstreams that it ended."""
+class AppliedUpdate:
+    """The control VM of an applied update and the incarnations it ended."""
 
     control: str
-    gone: tuple[EndedStart, ...]
+    ended: tuple[EndedIncarnation, ...]
 
 
 @dataclass
 class MergedTables:
-    """The tables of all control VMs, joined into one view.
+    """The tables of all control VMs, merged into one view.
 
     Parameters
     ----------
     regions : mapping
         Region of each failure domain.
+    tables : dict
+        Table of each control VM, by its peer address.
+    ends : EndedIncarnations
+        Ended incarnations that any control VM reported.
+    replaced : dict
+        When each replaced incarnation was found to be replaced.
+    changes : int
+        Number of updates with changes.
     """
 
     regions: Mapping[str, str]
     tables: dict[str, ControlTable] = field(default_factory=dict)
-    ends: EndedStarts = field(default_factory=EndedStarts)
+    ends: EndedIncarnations = field(default_factory=EndedIncarnations)
     replaced: dict[str, float] = field(default_factory=dict)
     changes: int = 0
     merge_inputs: MergeInputs | None = None
-    merged: RegistryView = field(default_factory=RegistryView)
+    merged_view: RegistryView = field(default_factory=RegistryView)
 
-    def take(
+    def apply(
         self,
-        news: ttypes.TableNews,
+        update: ttypes.TableNews,
         sent_s: float,
         now_s: float,
-    ) -> TakenNews | None:
-        """Take news of a control VM's table, whoever tells it.
+    ) -> AppliedUpdate | None:
+        """Apply an update of a control VM's table, whichever VM sent it.
 
         Parameters
         ----------
         sent_s : float
-            When whoever tells it was asked.
+            When the poll that it answers was sent.
 
         Returns
         -------
-        TakenNews or None
-            None where it is not known whose table that is.
+        AppliedUpdate or None
+            None if the control VM of the table is unknown.
         """
-        control = self.of_source(news.source)
-        if news.control is not None:
-            control = str(address_of(news.control))
+        control = self.control_of_source(update.source)
+        if update.control is not None:
+            control = str(address_from_wire(update.control))
         if control is None:
             return None
         table = self.tables.setdefault(control, ControlTable())
-        asof_s = sent_s - news.age_ms / MILLISECONDS
-        ended = table.take(news, asof_s, now_s)
-        self.changes += has_news(news)
-        for start in ended:
-            if start.instance not in table.upstreams:
-                self.ends.note(self.named(start), now_s)
-        return TakenNews(control, ended)
-
-    def of_source(self, source: str) -> str | None:
-        """Return whose table a control process's is; None where not known."""
+        asof_s = sent_s - update.age_ms / MILLISECONDS
+        ends = table.apply(update, asof_s, now_s)
+        self.changes += has_changes(update)
+        for ended in ends:
+            if ended.instance not in table.upstreams:
+                self.ends.record(self.with_start_time(ended), now_s)
+        return AppliedUpdate(control, ends)
+
+    def control_of_source(self, source: str) -> str | None:
+        """Return the control VM of a process; None if unknown."""
         for control, table in self.tables.items():
             if table.source == source:
                 return control
         return None
 
-    def held(self) -> list[ttypes.TableHeld]:
-        """Return which versions of which tables are held."""
+    def held_versions(self) -> list[ttypes.TableHeld]:
+        """Return the versions of the tables that are held."""
         return [
             ttypes.TableHeld(table.source, table.version, table.entries_version)
             for table in self.tables.values()
             if table.source
         ]
 
-    def named(self, start: EndedStart) -> EndedStart:
-        """Return an end with the newest start that any control VM tells of.
+    def with_start_time(self, ended: EndedIncarnation) -> EndedIncarnation:
+        """Return an end with the newest start time that was reported.
 
-        A control VM that had not heard of an upstream does not know which
-        start of it said good-bye.
+        A control VM that withdraws an upstream which never announced itself
+        there does not know which incarnation left.
         """
-        if start.born_ms is not None:
-            return start
-        announcement = [
-            table.upstreams[start.instance].announcement.born_ms
+        if ended.born_ms is not None:
+            return ended
+        reported = [
+            table.upstreams[ended.instance].announcement.born_ms
             for table in self.tables.values()
-            if start.instance in table.upstreams
+            if ended.instance in table.upstreams
         ]
-        known = [born_ms for born_ms in announcement if born_ms is not None]
-        return EndedStart(start.instance, max(known, default=None))
+        known = [born_ms for born_ms in reported if born_ms is not None]
+        return EndedIncarnation(ended.instance, max(known, default=None))
 
     def mark_replaced(self, incarnation: str, now_s: float) -> None:
-        """Note that another upstream answers at one's address."""
+        """Record that another upstream answers at an incarnation's address."""
         self.replaced.setdefault(incarnation, now_s)
         self.changes += 1
 
     def view(self, now_s: float) -> RegistryView:
-        """Return the joined view.
+        """Return the merged view.
 
-        Where no control VM answers, the last of what they said is gone by: a
-        VM that is cut off goes on to serve with the upstreams it knows.
+        If no control VM answers, their last tables are used: a VM that is cut
+        off continues to serve with the upstreams that it knows.
         """
-        self.forget(now_s)
+        self.expire(now_s)
         fresh = tuple(
             control
             for control, table in self.tables.items()
             if table.is_fresh(now_s)
         )
-        telling = [self.tables[control] for control in fresh or self.tables]
-        of = MergeInputs(self.changes, fresh, floor(now_s / REJOINED_AFTER_S))
-        if self.merge_inputs != of:
-            self.merged = self.join(telling, now_s)
-            self.merge_inputs = of
-        return self.merged
-
-    def forget(self, now_s: float) -> None:
-        """Drop what ended long ago."""
-        self.ends.forget(now_s)
+        used = [self.tables[control] for control in fresh or self.tables]
+        inputs = MergeInputs(
+            self.changes,
+            fresh,
+            floor(now_s / REMERGE_PERIOD_S),
+        )
+        if self.merge_inputs != inputs:
+            self.merged_view = self.merge(used, now_s)
+            self.merge_inputs = inputs
+        return self.merged_view
+
+    def expire(self, now_s: float) -> None:
+        """Remove what ended or was replaced long ago."""
+        self.ends.expire(now_s)
         for table in self.tables.values():
-            table.forget(now_s)
+            table.expire(now_s)
         for incarnation, replaced_s in tuple(self.replaced.items()):
-            if now_s - replaced_s > GONE_KEPT_S:
+            if now_s - replaced_s > REPLACED_TTL_S:
                 self.replaced.pop(incarnation)
 
-    def join(
+    def merge(
         self,
-        telling: list[ControlTable],
+        used: list[ControlTable],
         now_s: float,
     ) -> RegistryView:
-        """Return the joined view, which tells no loads.
+        """Return the merged view, without loads.
 
-        With 50 upstreams and 88 entry VMs it takes 1.9 ms, ten times a second
-        for an entry VM that serves ten requests in it; joined only when some
-        reply had news, that is seldom.
+        With 50 upstreams and 88 entry VMs this takes 1.9 ms, in which an entry
+        VM could handle ten requests. The view is read ten times a second, so
+        it is merged only after a change, which is rare.
         """
-        entries = join_entries(telling)
+        entries = merge_entries(used)
         return RegistryView(
-            upstreams=self.join_upstreams(telling, now_s),
+            upstreams=self.merge_upstreams(used, now_s),
             entries=entries,
             entry_points=accepting_by_region(entries),
         )
 
-    def join_upstreams(
+    def merge_upstreams(
         self,
-        telling: list[ControlTable],
+        used: list[ControlTable],
         now_s: float,
     ) -> dict[str, UpstreamSeen]:
-        """Join what each control VM tells of each upstream.
+        """Merge what each control VM reports of each upstream.
 
-        That a start drains is believed from whoever says it. That it is alive
-        is believed from one that heard of it: an upstream announces itself to
-        one control VM at a time. Of two starts the later one is believed.
+        An incarnation is draining if any control VM says so. It is alive if
+        any has received an announcement, since an upstream announces itself to
+        one control VM at a time. Of two incarnations the later one is used.
         """
-        merged: dict[str, Told] = {}
+        merged: dict[str, SeenByControls] = {}
         for table in self.tables.values():
-            for instance, heard_one in table.upstreams.items():
-                if self.is_past(heard_one.announcement, table, now_s):
+            for instance, reported in table.upstreams.items():
+                if self.is_ended(reported.announcement, table, now_s):
                     continue
-                seen = self.seen(heard_one, speaks=table in telling)
-                announcement = Told(seen, (table,))
+                seen = self.seen_upstream(reported, is_used=table in used)
+                single = SeenByControls(seen, (table,))
                 known = merged.get(instance)
                 merged[instance] = (
-                    announcement if known is None else known.join(announcement)
+                    single if known is None else known.merge(single)
                 )
         return {
-            one.seen.announcement.incarnation: one.seen
-            for one in merged.values()
+            reports.seen.announcement.incarnation: reports.seen
+            for reports in merged.values()
         }
 
     def has_ended(self, announcement: UpstreamAnnounced, now_s: float) -> bool:
-        """Tell whether a start that some process tells of is over."""
+        """Return whether an incarnation is known to have ended."""
         if announcement.incarnation in self.replaced:
             return True
         return self.ends.covers(
-            announcement.instance, announcement.born_ms, now_s
+            announcement.instance,
+            announcement.born_ms,
+            now_s,
         )
 
-    def is_past(
+    def is_ended(
         self,
         announcement: UpstreamAnnounced,
         table: ControlTable,
         now_s: float,
     ) -> bool:
-        """Tell whether what a control VM tells of is known to be over."""
+        """Return whether an incarnation in a table is known to have ended.
+
+        Unlike `has_ended`, this accepts an incarnation from a control VM that
+        knows the end of the previous one itself.
+        """
         if announcement.incarnation in self.replaced:
             return True
         if not self.ends.covers(
-            announcement.instance, announcement.born_ms, now_s
+            announcement.instance,
+            announcement.born_ms,
+            now_s,
         ):
             return False
-        ended_ms = self.ends.by_instance[announcement.instance].start.born_ms
-        return not table.has_judged(announcement.instance, ended_ms)
+        ended_ms = self.ends.by_instance[
+            announcement.instance
+        ].incarnation.born_ms
+        return not table.knows_ended(announcement.instance, ended_ms)
 
-    def seen(self, heard_one: HeardUpstream, *, speaks: bool) -> UpstreamSeen:
-        """Return what one control VM tells of an incarnation."""
+    def seen_upstream(
+        self,
+        reported: ReportedUpstream,
+        *,
+        is_used: bool,
+    ) -> UpstreamSeen:
+        """Return an incarnation as one control VM reports it.
+
+        Parameters
+        ----------
+        is_used : bool
+            False if the table is not fresh; the incarnation is then silent.
+        """
         return UpstreamSeen(
-            announcement=heard_one.announcement,
-            region=self.regions.get(heard_one.announcement.failure_domain, ''),
-            cold_until_s=heard_one.cold_until_s,
-            ends_at_s=heard_one.ends_at_s,
-            silent=heard_one.silent or not speaks,
+            announcement=reported.announcement,
+            region=self.regions.get(reported.announcement.failure_domain, ''),
+            cold_until_s=reported.cold_until_s,
+            ends_at_s=reported.ends_at_s,
+            silent=reported.silent or not is_used,
         )
 
 
 @dataclass(frozen=True)
-class Told:
-    """A start of an upstream, and the control VMs that tell of it."""
+class SeenByControls:
+    """An incarnation and the tables of the control VMs that report it."""
 
     seen: UpstreamSeen
     tables: tuple[ControlTable, ...]
 
-    def join(self, other: 'Told') -> 'Told':
-        """Return what two control VMs tell of one upstream."""
-        one, two = self.seen.announcement, other.seen.announcement
-        if one.born_ms == two.born_ms:
+    def merge(self, other: 'SeenByControls') -> 'SeenByControls':
+        """Merge two reports of one upstream; the later incarnation wins."""
+        first, second = self.seen.announcement, other.seen.announcement
+        if first.born_ms == second.born_ms:
             tables = self.tables + other.tables
-            return Told(join(self.seen, other.seen), tables)
+            return SeenByControls(merge_seen(self.seen, other.seen), tables)
         return other if self.is_before(other) else self
 
-    def is_before(self, other: 'Told') -> bool:
-        """Tell whether another start of the upstream is the later one."""
-        one, two = self.seen.announcement, other.seen.announcement
-        if None in {one.born_ms, two.born_ms}:
-            return one.born_ms is None
-        if one.born_ms < two.born_ms:
-            return not self.has_judged(two)
-        return other.has_judged(one)
-
-    def has_judged(self, announcement: UpstreamAnnounced) -> bool:
-        """Tell whether one of its control VMs knows that a start is over."""
+    def is_before(self, other: 'SeenByControls') -> bool:
+        """Return whether another incarnation of the upstream is the later."""
+        first, second = self.seen.announcement, other.seen.announcement
+        if None in {first.born_ms, second.born_ms}:
+            return first.born_ms is None
+        if first.born_ms < second.born_ms:
+            return not self.knows_ended(second)
+        return other.knows_ended(first)
+
+    def knows_ended(self, announcement: UpstreamAnnounced) -> bool:
+        """Return whether one of the tables contains an incarnation's end."""
         return any(
-            table.has_judged(announcement.instance, announcement.born_ms)
+            table.knows_ended(announcement.instance, announcement.born_ms)
             for table in self.tables
         )
 
 
-def has_news(news: ttypes.TableNews) -> bool:
-    """Tell whether news of a table tells more than its age."""
-    parts = (news.upstreams, news.gone, news.entries, news.gone_entries)
-    return news.whole or any(parts)
+def has_changes(update: ttypes.TableNews) -> bool:
+    """Return whether an update of a table contains more than its age."""
+    parts = (update.upstreams, update.gone, update.entries, update.gone_entries)
+    return update.whole or any(parts)
 
 
 def accepting_by_region(
     entries: Mapping[str, EntryRecord],
 ) -> dict[str, tuple[EntryRecord, ...]]:
-    """Return the entry VMs that take requests, by region."""
+    """Return the entry VMs that accept requests, by region."""
     regions: dict[str, list[EntryRecord]] = {}
     for entry in entries.values():
         if entry.accepting:
             regions.setdefault(entry.region, []).append(entry)
-    return {region: tuple(found) for region, found in regions.items()}
+    return {region: tuple(listed) for region, listed in regions.items()}
 
 
-def join(one: UpstreamSeen, other: UpstreamSeen) -> UpstreamSeen:
-    """Return what two control VMs tell of the same incarnation."""
-    newer, older = one, other
-    if other.announcement.sequence > one.announcement.sequence:
-        newer, older = other, one
+def merge_seen(first: UpstreamSeen, second: UpstreamSeen) -> UpstreamSeen:
+    """Merge two control VMs' reports of the same incarnation."""
+    newer, older = first, second
+    if second.announcement.sequence > first.announcement.sequence:
+        newer, older = second, first
     announcement = newer.announcement
     if older.announcement.draining and not announcement.draining:
         announcement = replace(announcement, draining=True)
     return replace(
         newer,
         announcement=announcement,
-        silent=one.silent and other.silent,
+        silent=first.silent and second.silent,
         ends_at_s=newer.ends_at_s or older.ends_at_s,
     )
 
 
-def join_entries(telling: Iterable[ControlTable]) -> dict[str, EntryRecord]:
-    """Return every entry VM that a control VM hears."""
+def merge_entries(used: Iterable[ControlTable]) -> dict[str, EntryRecord]:
+    """Merge the entry VMs of several tables."""
     merged: dict[str, EntryRecord] = {}
-    for table in telling:
-        for entry in table.present():
+    for table in used:
+        for entry in table.present_entries():
             known = merged.get(entry.name)
-            # Two records of one VM differ for a moment only; one that says
-            # that it drains is the later one.
+            # Two records of an entry VM differ only for a moment; the one
+            # that is draining is the later one.
             if known is None or not entry.accepting:
                 merged[entry.name] = entry
     return merged
--- a/godwitshunt/registry/prefixes.py
+++ b/godwitshunt/registry/prefixes.py
@@ -1,9 +1,10 @@
-"""Which upstreams keep which shared prompt parts; pure.
+"""Table of the prompt prefixes that upstreams hold in their caches.
 
-An engine that has read a prompt's shared parts keeps them for a while, and
-reading them again elsewhere takes time from every request there. Entry VMs
-tell control VMs what their requests have shown, and hear of one another's.
-Times are seconds on this VM's monotonic clock.
+An engine that has processed the shared parts of a prompt keeps them cached for
+a while; processing them again on another engine delays every request there.
+Entry VMs report what their requests show to control VMs and receive what other
+entry VMs have reported. No I/O; times are seconds on this VM's monotonic
+clock.
 """
 
 from collections import OrderedDict
@@ -11,116 +12,116 @@
 from dataclasses import dataclass, field
 from itertools import takewhile
 
-# Engines drop the parts that were used longest ago when their memory is
-# full. The users' engines hold 20 to 27 prompts of 13,300 tokens, and each is
-# asked for every 8 to 16 s. A belief that is too old costs what reading at the
-# owner would cost.
-PREFIX_KEPT_S = 40.0
-# Pairs of prefix and upstream that are remembered; the oldest yield. At the
-# largest deployment that was played, 49 long prompts a second come.
+# Engines evict the least recently used prefixes when their memory is full. The
+# users' engines hold 20 to 27 prompts of 13,300 tokens, each requested every
+# 8 to 16 s. If an entry here is too old, the request costs the same prefill on
+# that upstream as it would on the prefix's owner.
+PREFIX_TTL_S = 40.0
+# Pairs of prefix and upstream to remember; the oldest are dropped. The largest
+# deployment that was replayed sends 49 long prompts a second.
 MAX_PREFIXES = 4096
 
 
 @dataclass(frozen=True)
 class CachedPrefix:
-    """A prompt's shared parts that an upstream has read.
+    """A prompt prefix that an upstream has processed.
 
     Parameters
     ----------
     key : int
-        Names the parts; the same on all VMs.
+        Identifies the shared parts; the same on all VMs.
     instance : str
-        The incarnation that read them.
-    read_s : float
-        When it did last.
+        Incarnation that processed them.
+    cached_s : float
+        When it last did.
     """
 
     key: int
     instance: str
-    read_s: float
+    cached_s: float
 
 
 @dataclass(frozen=True)
-class VersionedRead:
-    """A read, and the version of the table that it made."""
+class VersionedPrefix:
+    """A cached prefix and the table version that recorded it."""
 
-    read: CachedPrefix
+    prefix: CachedPrefix
     version: int
 
 
 @dataclass
 class PrefixTable:
-    """The last read of each prefix by each upstream, the newest at the end.
+    """The last use of each prefix on each upstream, newest last.
 
     Examples
     --------
     >>> table = PrefixTable()
-    >>> table.record(CachedPrefix(7, 'i-1', read_s=1.0))
-    >>> table.record(CachedPrefix(7, 'i-2', read_s=2.0))
+    >>> table.record(CachedPrefix(7, 'i-1', cached_s=1.0))
+    >>> table.record(CachedPrefix(7, 'i-2', cached_s=2.0))
     >>> sorted(table.holders(7, now_s=3.0)), table.holders(8, now_s=3.0)
     (['i-1', 'i-2'], frozenset())
-    >>> [read.instance for read in table.since(1)]
+    >>> [prefix.instance for prefix in table.since(1)]
     ['i-2']
     """
 
-    reads: OrderedDict[tuple[int, str], VersionedRead] = field(
+    prefixes: OrderedDict[tuple[int, str], VersionedPrefix] = field(
         default_factory=OrderedDict,
     )
     by_key: dict[int, dict[str, float]] = field(default_factory=dict)
     version: int = 0
 
-    def record(self, read: CachedPrefix) -> None:
-        """Take a read; an older one than is known changes nothing."""
-        known = self.by_key.setdefault(read.key, {})
-        if read.read_s <= known.get(read.instance, float('-inf')):
+    def record(self, prefix: CachedPrefix) -> None:
+        """Record a cached prefix, unless a newer use of it is known."""
+        known = self.by_key.setdefault(prefix.key, {})
+        if prefix.cached_s <= known.get(prefix.instance, float('-inf')):
             return
-        known[read.instance] = read.read_s
+        known[prefix.instance] = prefix.cached_s
         self.version += 1
-        place = (read.key, read.instance)
-        self.reads[place] = VersionedRead(read, self.version)
-        self.reads.move_to_end(place)
-        while len(self.reads) > MAX_PREFIXES:
-            self.drop(next(iter(self.reads)))
+        pair = (prefix.key, prefix.instance)
+        self.prefixes[pair] = VersionedPrefix(prefix, self.version)
+        self.prefixes.move_to_end(pair)
+        while len(self.prefixes) > MAX_PREFIXES:
+            self.remove(next(iter(self.prefixes)))
 
-    def take(self, reads: Iterable[CachedPrefix]) -> None:
-        """Take several reads."""
-        for read in reads:
-            self.record(read)
+    def record_all(self, prefixes: Iterable[CachedPrefix]) -> None:
+        """Record several cached prefixes."""
+        for prefix in prefixes:
+            self.record(prefix)
 
     def holders(self, key: int | None, now_s: float) -> frozenset[str]:
-        """Return the incarnations that read a prefix of late."""
+        """Return the incarnations that are assumed to have a prefix cached."""
         if key is None:
             return frozenset()
-        since_s = now_s - PREFIX_KEPT_S
+        since_s = now_s - PREFIX_TTL_S
         return frozenset(
             instance
-            for instance, read_s in self.by_key.get(key, {}).items()
-            if read_s > since_s
+            for instance, cached_s in self.by_key.get(key, {}).items()
+            if cached_s > since_s
         )
 
     def since(self, version: int) -> tuple[CachedPrefix, ...]:
-        """Return the reads after a version, the oldest first."""
+        """Return the prefixes recorded after a version, the oldest first."""
         newer = takewhile(
-            lambda one: one.version > version,
-            reversed(self.reads.values()),
+            lambda versioned: versioned.version > version,
+            reversed(self.prefixes.values()),
         )
-        return tuple(reversed([one.read for one in newer]))
-
-    def forget(self, now_s: float) -> None:
-        """Drop what was read too long ago to be kept still."""
-        since_s = now_s - PREFIX_KEPT_S
-        old = [
-            place
-            for place, one in self.reads.items()
-            if one.read.read_s <= since_s
+        return tuple(reversed([versioned.prefix for versioned in newer]))
+
+    def expire(self, now_s: float) -> None:
+        """Remove the prefixes that are older than `PREFIX_TTL_S`."""
+        since_s = now_s - PREFIX_TTL_S
+        expired = [
+            pair
+            for pair, versioned in self.prefixes.items()
+            if versioned.prefix.cached_s <= since_s
         ]
-        for place in old:
-            self.drop(place)
+        for pair in expired:
+            self.remove(pair)
 
-    def drop(self, place: tuple[int, str]) -> None:
-        """Drop one prefix of one upstream."""
-        key, instance = place
-        self.reads.pop(place)
+    def remove(self, pair: tuple[int, str]) -> None:
+        """Remove one prefix of one upstream."""
+        key, instance = pair
+        self.prefixes.pop(pair)
         holders = self.by_key[key]
         holders.pop(instance)
         if not holders:
--- a/godwitshunt/registry/quarantine_api.py
+++ b/godwitshunt/registry/quarantine_api.py
@@ -1,4 +1,4 @@
-"""What operators ask of quarantined requests over HTTP."""
+"""Operators' HTTP API for quarantined requests."""
 
 from pydantic import Field
 
@@ -18,37 +18,37 @@
 
 
 class ReleaseRequest(StrictModel):
-    """A request that may be sent again.
+    """A call to release a quarantined request.
 
     Parameters
     ----------
     fingerprint : str
-        As log lines name it: 32 hexadecimal digits.
+        Fingerprint as in log lines: 32 hexadecimal digits.
     """
 
     fingerprint: str = Field(pattern='^[0-9a-f]{32}$')
 
 
 class QuarantineApi:
-    """The routes for quarantined requests, to be added to the operators' API.
+    """Handlers of the quarantine routes of the operators' API.
 
     Parameters
     ----------
     quarantine : Quarantine
-        Of this control VM; others and entry VMs hear of what changes here.
+        This control VM's quarantine. Changes are sent to the other VMs.
     """
 
     def __init__(self, quarantine: Quarantine) -> None:
         self.quarantine = quarantine
 
     async def show(self, request: OperatorRequest) -> OperatorAnswer:
-        """Tell which requests are suspected or quarantined, and why."""
+        """List suspected and quarantined requests with their losses."""
         return answer({'requests': self.quarantine.describe()})
 
     async def release(self, request: OperatorRequest) -> OperatorAnswer:
-        """Hold nothing against a request from now on."""
+        """Release a request and clear its losses."""
         try:
-            asked = parse_document(
+            document = parse_document(
                 BODY,
                 request.body,
                 ReleaseRequest,
@@ -56,8 +56,8 @@
             )
         except DocumentError as invalid:
             return refusal(invalid_document(invalid))
-        fingerprint = Fingerprint(bytes.fromhex(asked.fingerprint))
+        fingerprint = Fingerprint(bytes.fromhex(document.fingerprint))
         if self.quarantine.clear(fingerprint):
             return answer({'outcome': 'released'})
-        told = 'nothing is held against this request here'
-        return refusal(OperatorProblem('not-found', 404, told))
+        detail = 'nothing is held against this request here'
+        return refusal(OperatorProblem('not-found', 404, detail))
--- a/godwitshunt/registry/records.py
+++ b/godwitshunt/registry/records.py
@@ -1,4 +1,4 @@
-"""What is known of an incarnation of an upstream and of an entry VM."""
+"""Records of upstream incarnations, entry VMs and their load."""
 
 from dataclasses import dataclass
 
@@ -7,39 +7,41 @@
 
 @dataclass(frozen=True)
 class UpstreamAnnounced:
-    """What an upstream told of itself.
+    """An announcement that an upstream sent about itself.
 
     Parameters
     ----------
     instance : str
-        What it calls itself; the same when it starts again.
+        Name that the upstream gives itself; the same after a restart.
     service : str
-        What it serves; a name of the manifest.
+        Name in the manifest of the service that it provides.
     address : Address
-        Where it takes requests. Another service's upstream may get it later.
+        Where it accepts requests. An upstream of another service may reuse
+        the address later.
     failure_domain : str
-        Where it stands.
+        Failure domain that it runs in.
     slots : int
-        Requests that it runs at once.
+        Requests that it runs concurrently.
     draining : bool
-        True where it takes no new work and will leave.
+        True when it accepts no new requests and is about to shut down.
     cold_s : float
-        Seconds for which it stays cold.
+        Remaining seconds of its cold start.
     sequence : int
         Rises with each announcement of the incarnation.
     ends_in_s : float or None
-        Seconds until it is gone whatever it runs; None where not known.
+        Seconds until it terminates, whether or not requests are still
+        running; None if unknown.
     born_ms : int or None
-        When this start of it began, by its own clock in Unix milliseconds;
-        None where it does not tell.
+        Start time of this incarnation by its own clock, in Unix milliseconds;
+        None if it does not send one.
 
     Examples
     --------
     >>> address = Address(host='10.0.0.1', port=80)
-    >>> told = ('i-1', 'chat', address, 'a', 8, False, 0, 1)
-    >>> UpstreamAnnounced(*told).incarnation
+    >>> fields = ('i-1', 'chat', address, 'a', 8, False, 0, 1)
+    >>> UpstreamAnnounced(*fields).incarnation
     'i-1'
-    >>> UpstreamAnnounced(*told, born_ms=1700000000000).incarnation
+    >>> UpstreamAnnounced(*fields, born_ms=1700000000000).incarnation
     'i-1~1700000000000'
     """
 
@@ -56,7 +58,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Names this start of it, among all starts of all upstreams."""
+        """Name of this incarnation, unique among all upstreams."""
         return incarnation_name(self.instance, self.born_ms)
 
 
@@ -67,13 +69,13 @@
     Parameters
     ----------
     session : str
-        Drawn at each start of its process.
+        Random identifier, new at each start of its process.
     http : Address
         Where callers reach it.
     hop : Address
-        Where other entry VMs hand requests over.
+        Where other entry VMs forward requests to it.
     accepting : bool
-        False while it drains or knows no configuration.
+        False while it drains or has no configuration.
     """
 
     name: str
@@ -87,14 +89,14 @@
 
 @dataclass(frozen=True)
 class Load:
-    """Requests at an upstream that have not ended.
+    """Requests in progress at an upstream.
 
     Parameters
     ----------
     in_flight : int
-        Requests.
+        Number of requests.
     pending_tokens : int
-        Prompt tokens of those that have shown no first event yet.
+        Prompt tokens of the requests that have not returned a first event.
     """
 
     in_flight: int = 0
@@ -114,5 +116,5 @@
 
 
 def incarnation_name(instance: str, born_ms: int | None) -> str:
-    """Return the name of one start of an upstream."""
+    """Return the name of an incarnation of an upstream."""
     return instance if born_ms is None else f'{instance}~{born_ms}'
--- a/godwitshunt/registry/registry.thrift
+++ b/godwitshunt/registry/registry.thrift
@@ -1,4 +1,4 @@
-/** Upstreams and entry VMs, as control VMs hear of them and entry VMs poll. */
+/** Messages of the registry of upstreams and entry VMs. */
 namespace py wire
 
 struct Endpoint {
@@ -14,18 +14,19 @@
   4: string failure_domain
   5: i32 slots
   6: bool draining
-  /** Milliseconds for which it stays cold, from when this was written. */
+  /** Remaining milliseconds of its cold start when this was sent. */
   7: i64 cold_ms
   8: i64 sequence
-  /** No announcement came for a while. */
+  /** True if no announcement was received recently. */
   9: bool silent
-  /** Milliseconds until it is gone, where that is known. */
+  /** Milliseconds until it terminates; absent if unknown. */
   10: optional i64 ends_in_ms
-  /** When this start began, by its own clock; absent where it does not tell. */
+  /** Start time of the incarnation by its own clock, in Unix milliseconds;
+      absent if it does not send one. */
   11: optional i64 born_ms
 }
 
-/** The newest start of an upstream that has ended. */
+/** The newest incarnation of an upstream that has ended. */
 struct StartEnded {
   1: string instance
   2: optional i64 born_ms
@@ -39,108 +40,108 @@
   4: string failure_domain
   /** Where callers reach it. */
   5: Endpoint http
-  /** Where other entry VMs hand requests over. */
+  /** Where other entry VMs forward requests to it. */
   6: Endpoint hop
-  /** False while it drains or knows no configuration. */
+  /** False while it drains or has no configuration. */
   7: bool accepting
 }
 
-/** Requests of one or more entry VMs at an upstream. */
+/** Load of an upstream by one or more entry VMs. */
 struct UpstreamLoad {
   /** Name of the incarnation. */
   1: string instance
   2: i32 in_flight
-  /** Prompt tokens of requests that have shown no first event. */
+  /** Prompt tokens of requests that have not returned a first event. */
   3: i64 pending_tokens
-  /** Milliseconds since the oldest of those was sent; absent for none. */
+  /** Milliseconds since the oldest such request was sent; absent for none. */
   4: optional i32 waiting_ms
-  /** Milliseconds since bytes last came from it; absent for never. */
+  /** Milliseconds since bytes last arrived from it; absent for never. */
   5: optional i32 heard_ms
 }
 
-/** Shared prompt parts that an upstream has read, and keeps for a while. */
+/** Shared prompt parts that an upstream has processed and keeps cached. */
 struct PrefixInfo {
-  /** Names the parts; the same on all VMs. */
+  /** Identifies the parts; the same on all VMs. */
   1: i64 key
   /** Name of the incarnation. */
   2: string instance
-  /** Milliseconds since it read them last, from when this was written. */
+  /** Milliseconds since it last processed them when this was sent. */
   3: i64 age_ms
 }
 
-/** What an attempt showed of an upstream. */
+/** The observed outcome of an attempt at an upstream. */
 struct AttemptShown {
   1: string instance
   2: string service_name
   /** A member of `Shown`. */
   3: i32 shown
-  /** Milliseconds to the first sign of an answer; absent for none. */
+  /** Milliseconds to the first byte of an answer; absent for none. */
   4: optional double first_ms
   5: double took_ms
-  /** What was expected when it was sent. */
+  /** Latency predicted when it was sent. */
   6: double predicted_ms
   7: i32 unread_tokens
-  /** True where the engine had other prompts to read, or was cold. */
+  /** True if the engine had other prompts to process, or was cold. */
   8: bool was_held_up
 }
 
-/** A place that ended while it had a request. */
+/** An upstream that terminated while it had a request. */
 struct PlaceLost {
   1: string place
-  /** Milliseconds since then, from when this was written. */
+  /** Milliseconds since then when this was sent. */
   2: i64 age_ms
   /** Milliseconds for which it had the request. */
   3: i64 exposure_ms
 }
 
-/** A moment until which nothing is held against a request: it was answered
-    whole, or an operator said so. */
+/** A time up to which the losses of a request are disregarded: it was answered
+    completely, or an operator released it. */
 struct Clearance {
-  /** Names the moment. */
+  /** Identifies the clearance. */
   1: string name
-  /** Milliseconds since then, from when this was written. */
+  /** Milliseconds since then when this was sent. */
   2: i64 age_ms
 }
 
-/** A request that was lost to upstreams, named by its content. */
+/** A request that was lost to upstreams, identified by its content. */
 struct SuspectInfo {
   /** 16 bytes. */
   1: binary fingerprint
-  /** Whose request it is; empty for nobody's. */
+  /** Organisation that sent it; empty for none. */
   2: string organisation
   3: i64 body_bytes
   4: list<PlaceLost> losses
   5: list<Clearance> clearances
 }
 
-/** What an organisation was admitted by a process since that started. */
+/** Units that a process has admitted for an organisation since it started. */
 struct AdmittedUnits {
   1: string organisation
   2: double units
 }
 
-/** An entry VM's own requests; one with a higher number takes its place. */
+/** All requests of an entry VM; a report with a higher number replaces it. */
 struct LoadReport {
   /** Rises with each report of the entry VM's process. */
   1: i64 number
   2: list<UpstreamLoad> loads
-  /** Drawn at each start of the entry VM's process. */
+  /** Random identifier, new at each start of the entry VM's process. */
   7: string session
-  /** The control process that gave places, and the last one that the loads
-      hold. */
+  /** The control process that assigned destinations, and the number of its
+      last reservation that the loads include. */
   3: string places_of
   4: i64 places_taken
-  /** What attempts have shown since the last report to this control VM. */
+  /** Outcomes of attempts since the last report to this control VM. */
   5: list<AttemptShown> shown
-  /** What upstreams have read since then. */
+  /** Cached prefixes since then. */
   6: list<PrefixInfo> prefixes
-  /** What the entry VM has admitted without a picker. */
+  /** Units that the entry VM has admitted without a picker. */
   8: list<AdmittedUnits> admitted
   /** Requests that were lost to upstreams since the last report. */
   9: list<SuspectInfo> suspects
 }
 
-/** A control VM's table, as far as the one that asks holds it. */
+/** Versions of a control VM's table that the sender holds. */
 struct TableHeld {
   1: string source
   2: i64 version
@@ -150,110 +151,110 @@
 
 /** From an entry VM or a control VM to a control VM, a few times a second. */
 struct Poll {
-  /** Absent where a control VM asks, or an entry VM that is heard by another
+  /** Absent if a control VM polls, or an entry VM that reports to another
       one. */
   1: optional EntryInfo entry
   2: list<TableHeld> held
-  /** The entry VM's own requests; absent where it reports to another one. */
+  /** The entry VM's requests; absent if it reports to another control VM. */
   3: optional LoadReport report
-  /** What the entry VM's requests have shown since the last poll. */
+  /** Cached prefixes that its requests have shown since the last poll. */
   4: list<PrefixInfo> prefixes
-  /** Version of the held prefixes that it has heard of here; a negative one
-      asks for none. */
+  /** Version of the receiver's cached prefixes that the sender holds; a
+      negative one requests none. */
   5: i64 prefixes_version
-  /** True where requests at upstreams are asked for. */
+  /** True to request the loads of upstreams. */
   6: bool wants_loads
-  /** A member of `Scope`: whose tables are asked for. */
+  /** A member of `Scope`: the tables that are requested. */
   7: i32 scope
-  /** True where a control VM asks. */
+  /** True if a control VM polls. */
   8: bool from_control
-  /** Tables that the entry VM holds as newer ones than the control VM that it
-      asks, which has said that it misses some. */
+  /** Tables that are newer at the entry VM than at the receiver, which has
+      reported stale ones. */
   9: list<TableNews> newer
-  /** Requests that the entry VM lost to upstreams since the last poll. */
+  /** Requests of the entry VM lost to upstreams since the last poll. */
   10: list<SuspectInfo> suspects
-  /** Version of the suspected requests that it has heard of here. */
+  /** Version of the receiver's suspected requests that the sender holds. */
   11: i64 suspects_version
 }
 
-/** News of one control VM's table, from itself or from another one. */
+/** An update of one control VM's table, from itself or relayed. */
 struct TableNews {
-  /** Where peers reach the control VM; told with a whole table. */
+  /** Peer address of the control VM; present with a whole table. */
   1: optional Endpoint control
-  /** Drawn at each start of the control VM's process. */
+  /** Random identifier, new at each start of the control VM's process. */
   2: string source
   3: i64 version
-  /** True where this is the whole table and not what has changed. */
+  /** True if this is the whole table, not only its changes. */
   4: bool whole
-  /** Milliseconds since whoever tells this asked the control VM for it; 0
-      where it tells of itself. */
+  /** Milliseconds since the sender polled the control VM for it; 0 in the
+      control VM's own update. */
   5: i64 age_ms
-  /** Where the control VM stands; told with a whole table. */
+  /** Region of the control VM; present with a whole table. */
   6: optional string region
   7: list<UpstreamInfo> upstreams
-  /** Starts that ended: they left or were replaced, and never come back. */
+  /** Incarnations that ended: they left or were replaced for good. */
   8: list<StartEnded> gone
   9: list<EntryInfo> entries
-  /** Names of entry VMs that are not heard any more. */
+  /** Names of entry VMs that no longer poll. */
   10: list<string> gone_entries
   11: i64 entries_version
-  /** Requests of the entry VMs that report to the control VM; absent where
-      they are not asked for. */
+  /** Loads by the entry VMs that report to the control VM; absent if not
+      requested. */
   12: optional list<UpstreamLoad> loads
-  /** What the control VM's picker has admitted; told with the loads. */
+  /** Units that the control VM's picker has admitted; sent with the loads. */
   13: list<AdmittedUnits> admitted
 }
 
 struct PollReply {
   /** The control VM's process. */
   6: string source
-  /** The control VM's own table, and what it knows of the others'. */
+  /** The control VM's own table and its copies of the others'. */
   1: list<TableNews> tables
-  /** Requests of all other entry VMs; absent where not asked for. */
+  /** Loads by all other entry VMs; absent if not requested. */
   2: optional list<UpstreamLoad> loads
-  /** Prefixes that were read after the version asked for. */
+  /** Prefixes cached after the requested version. */
   3: list<PrefixInfo> prefixes
   4: i64 prefixes_version
-  /** True where this control VM gives places to its region's entry VMs. */
+  /** True if this control VM assigns destinations to its region's entry VMs. */
   5: bool gives_places
-  /** Where this control VM stands. */
+  /** Region of this control VM. */
   7: string region
-  /** True where some table is old here: whoever holds it as newer may tell. */
+  /** True if some table is stale here: an entry VM may send a newer copy. */
   8: bool misses_tables
-  /** Suspected requests that changed after the version asked for. */
+  /** Suspected requests that changed after the requested version. */
   9: list<SuspectInfo> suspects
   10: i64 suspects_version
 }
 
-/** From an entry VM to its region's picker: a place for a request. */
+/** From an entry VM to its region's picker: requests a destination. */
 struct PlaceAsked {
   1: string entry_name
   2: LoadReport report
   3: string request_id
-  /** Names the route. */
+  /** Host and path prefix identify the route. */
   4: string host
   5: string path_prefix
   6: string service_name
   7: i32 prompt_tokens
   8: i32 shared_tokens
-  /** Names the shared parts; absent where there are none. */
+  /** Identifies the shared parts; absent if there are none. */
   9: optional i64 shared_key
   10: i32 remaining_ms
   /** Incarnations, VMs and regions that failed this request. */
   11: list<string> excluded
-  /** True where it was handed over, and must be served in this region. */
+  /** True if it was forwarded here and must be served in this region. */
   12: bool local
-  /** Whose request it is; absent for nobody's. */
+  /** Organisation that sent it; absent for none. */
   13: optional string organisation
-  /** What it counts for in that organisation's limit. */
+  /** Units that it counts in that organisation's limit. */
   14: double cost
 }
 
-/** Where a request goes: an upstream, an entry VM, or nowhere. */
+/** The destination of a request: an upstream, an entry VM, or none. */
 struct PlaceGiven {
   /** A member of `GivenKind`. */
   1: i32 kind
-  /** The picker's process, and the number of this place. */
+  /** The picker's process, and the number of the reservation. */
   2: string source
   3: i64 number
   4: double predicted_ms
@@ -266,10 +267,10 @@
   11: double retry_after_ms
 }
 
-/** What a control VM keeps on its disk of upstreams. */
+/** The table of upstreams that a control VM stores on its disk. */
 struct KeptUpstreams {
   1: list<UpstreamInfo> upstreams
   2: list<StartEnded> gone
-  /** Requests under which upstreams ended. */
+  /** Requests that were lost to upstreams. */
   3: list<SuspectInfo> suspects
 }
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -1,4 +1,8 @@
-"""The control side: hears upstreams, answers the polls of entry VMs."""
+"""The registry of a control VM.
+
+It receives the announcements of upstreams and answers the polls of entry VMs
+and other control VMs.
+"""
 
 import secrets
 import time
@@ -17,8 +21,6 @@
 from godwitshunt.registry.control_tables import ControlTables
 from godwitshunt.registry.entries import EntryTable
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.keeper import UpstreamKeeper
-from godwitshunt.registry.kept_upstreams import KeptUpstreams
 from godwitshunt.registry.ledger import LoadLedger, Report, SummedLoads
 from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.registry.records import EntryRecord, UpstreamAnnounced
@@ -32,7 +34,13 @@
     UpstreamEntry,
     UpstreamTable,
 )
-from godwitshunt.registry.table_updates import ControlLocation, Scope, own_news
+from godwitshunt.registry.table_updates import (
+    ControlLocation,
+    Scope,
+    own_update,
+)
+from godwitshunt.registry.upstream_file import UpstreamFile
+from godwitshunt.registry.upstream_persistence import UpstreamPersistence
 from godwitshunt.registry.views import RegistryView
 from godwitshunt.registry.wire import (
     admitted_to_wire,
@@ -49,31 +57,31 @@
 TICK_S = 0.25
 SOURCE_BYTES = 8
 MILLISECONDS = 1000
-# Gets the entry VM's name, its report as it came, and what was read of it.
-ReportNotice = Callable[[str, ttypes.LoadReport, Report], None]
+# Called with the entry VM's name and its report, as received and as read.
+ReportListener = Callable[[str, ttypes.LoadReport, Report], None]
 
 
 class RegistryService:
-    """Upstreams that announce themselves here, and entry VMs that poll.
+    """The upstreams that announce themselves here and the entry VMs that poll.
 
-    Control VMs tell each other their tables, and an entry VM asks one for all
-    of them. Each table is told with its age; an entry VM that finds one too
-    old asks its control VM itself. So the news that an upstream leaves
-    reaches every entry VM that reaches the control VM which acknowledged it,
-    whether the control VMs hear each other or not.
+    Control VMs exchange their tables, and an entry VM polls one of them for
+    all tables. Each table is sent with its age; an entry VM that finds a table
+    too old polls its control VM directly. So an upstream's departure becomes
+    known to every entry VM that can reach the control VM which acknowledged
+    it, whether or not the control VMs can reach each other.
 
     Parameters
     ----------
     location : ControlLocation
-        Where this control VM stands, and which others there are.
+        Address and region of this control VM, and the other control VMs.
     links : PeerLinks
-        Carry the polls.
+        Links to the other VMs.
     timer : Timer
         Monotonic time.
     metrics : Metrics
         Counts announcements and polls.
-    kept : KeptUpstreams or None
-        What was last known of upstreams on disk; None keeps nothing.
+    upstream_file : UpstreamFile or None
+        Where the table of upstreams is stored; None disables persistence.
     """
 
     def __init__(
@@ -82,10 +90,10 @@
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
-        kept: KeptUpstreams | None = None,
+        upstream_file: UpstreamFile | None = None,
     ) -> None:
         self.location = location
-        self.shown = (-1, -1)
+        self.viewed_versions = (-1, -1)
         self.background = Background()
         self.links = links
         self.timer = timer
@@ -93,8 +101,8 @@
         self.source = secrets.token_hex(SOURCE_BYTES)
         self.upstreams = UpstreamTable()
         self.quarantine = Quarantine(QUARANTINE_S, timer.now, metrics)
-        self.keeper = UpstreamKeeper(
-            kept,
+        self.persistence = UpstreamPersistence(
+            upstream_file,
             self.upstreams,
             self.quarantine.table,
             timer,
@@ -102,15 +110,16 @@
         )
         self.entries = EntryTable()
         self.ledger = LoadLedger()
-        # What entry VMs told here, and that with what other control VMs were
-        # told. Only the first is told to those: a read that went back and
-        # forth would age by less than its way each time, and live for ever.
-        self.heard_prefixes = PrefixTable()
+        # Prefixes that entry VMs reported here, and those together with the
+        # ones received from other control VMs. Only the first are sent to
+        # other control VMs: a prefix sent back and forth would lose the network
+        # delay from its age each time and never expire.
+        self.reported_prefixes = PrefixTable()
         self.prefixes = PrefixTable()
         self.picker_active = False
-        # What the picker beside this registry has admitted, by organisation.
+        # Units that the picker of this process has admitted, by organisation.
         self.admitted: Mapping[str, float] = {}
-        self.report_notices: list[ReportNotice] = []
+        self.report_listeners: list[ReportListener] = []
         self.tables = ControlTables(
             location,
             self.prefixes,
@@ -129,44 +138,44 @@
         metrics: Metrics,
         settings: ControlSettings,
     ) -> Self:
-        """Make the registry of a control VM."""
-        kept = None
+        """Create the registry of a control VM from its settings."""
+        upstream_file = None
         if settings.keeps_upstreams:
-            kept = KeptUpstreams(settings.data_folder)
-        made = cls(location, links, timer, metrics, kept)
-        made.quarantine.length_s = settings.bounds.quarantine_s
-        return made
+            upstream_file = UpstreamFile(settings.data_folder)
+        registry = cls(location, links, timer, metrics, upstream_file)
+        registry.quarantine.length_s = settings.bounds.quarantine_s
+        return registry
 
     def start(self) -> None:
-        """Take up what is kept, and answer polls.
+        """Restore the stored tables and start answering polls.
 
         Raises
         ------
         StorageError
-            Where the data folder cannot be read.
+            If the data folder cannot be read.
         """
-        self.keeper.restore()
+        self.persistence.restore()
         self.links.subscribe(MessageKind.registry_poll, self.on_poll)
         self.subscription = self.timer.every(TICK_S, self.tick)
         self.tables.start()
 
     async def close(self) -> None:
-        """Watch over silences no more."""
+        """Stop the periodic work and the polls of other control VMs."""
         if self.subscription is not None:
             self.subscription.cancel()
         await self.tables.close()
         await self.background.close()
 
     async def flush(self) -> bool:
-        """Wait until what is known now is on disk; False where it failed.
+        """Wait until the current state is on disk; False if that failed.
 
-        That an upstream leaves is acknowledged only then: after a loss of
-        power it would else get work from those who remember it as ready.
+        An upstream's departure is acknowledged only afterwards: restored as
+        ready after a loss of power, it would receive requests again.
         """
-        return await self.keeper.flush()
+        return await self.persistence.flush()
 
     def announce(self, announcement: UpstreamAnnounced) -> AnnounceOutcome:
-        """Take an upstream's announcement."""
+        """Apply an upstream's announcement."""
         known = self.upstreams.entries.get(announcement.instance)
         outcome = self.upstreams.announce(announcement, self.timer.now())
         self.metrics.count(
@@ -182,10 +191,10 @@
         known: UpstreamEntry | None,
         announcement: UpstreamAnnounced,
     ) -> None:
-        """Log an upstream that is new here or begins to drain.
+        """Log an announcement that is the first or that changed the table.
 
-        The entry in the table is the same object before and after; only a
-        new one, or a first word of draining, is a change of what we believe.
+        `known` is the table's entry before the announcement, the same object
+        as afterwards if the entry was updated; its version shows a change.
         """
         now_known = self.upstreams.entries.get(announcement.instance)
         changed = now_known is not None and (
@@ -206,7 +215,7 @@
             )
 
     def withdraw(self, instance: str) -> None:
-        """Take an upstream's departure."""
+        """Apply an upstream's departure."""
         now_ms = time.time() * MILLISECONDS
         self.upstreams.withdraw(instance, self.timer.now(), now_ms)
         self.metrics.count('registry_withdrawals_total')
@@ -217,116 +226,124 @@
         )
 
     def accepting(self) -> tuple[EntryRecord, ...]:
-        """Return the entry VMs that take requests of callers now."""
+        """Return the entry VMs that accept requests from callers now."""
         self.tick()
         entries = self.view().entries.values()
-        return tuple(one for one in entries if one.accepting)
+        return tuple(entry for entry in entries if entry.accepting)
 
     def view(self) -> RegistryView:
-        """Return what all control VMs together tell, with all requests.
+        """Return the view merged from all control VMs, with all loads.
 
-        The entry VMs that report here are counted to the millisecond, those
-        that report elsewhere as their control VM told last.
+        The loads of entry VMs that report here are exact, those of others as
+        recent as the last update from their control VM.
         """
         now_s = self.timer.now()
-        if self.shown != (self.upstreams.version, self.entries.version):
-            self.shown = (self.upstreams.version, self.entries.version)
-            self.tables.take_own(self.own_news(self.tables.held_own(), now_s))
+        if self.viewed_versions != (
+            self.upstreams.version,
+            self.entries.version,
+        ):
+            self.viewed_versions = (
+                self.upstreams.version,
+                self.entries.version,
+            )
+            self.tables.apply_own(
+                self.own_update(self.tables.held_own_version(), now_s),
+            )
         loads = SummedLoads((self.ledger.totals, self.tables.loads(now_s)))
         return replace(self.tables.view(), loads=loads)
 
     def mark_replaced(self, incarnation: str) -> None:
-        """Note that an incarnation is no longer at its address."""
+        """Record that another upstream answers at an incarnation's address."""
         self.tables.mark_replaced(incarnation)
 
     def tick(self) -> None:
-        """Note who has fallen silent."""
+        """Update silent and absent VMs, expire old state, persist changes."""
         now_s = self.timer.now()
         self.upstreams.tick(now_s)
         self.quarantine.tick()
-        if self.keeper.is_due:
-            self.background.run('keep', self.keeper.keep)
-        self.heard_prefixes.forget(now_s)
-        self.prefixes.forget(now_s)
+        if self.persistence.is_due:
+            self.background.run('keep', self.persistence.write)
+        self.reported_prefixes.expire(now_s)
+        self.prefixes.expire(now_s)
         for name in self.entries.tick(now_s):
-            self.ledger.forget(name)
+            self.ledger.remove_entry(name)
             log_change('registry:entry_absent', entry=name)
-        for location in self.ledger.tick(now_s):
+        for reservation in self.ledger.tick(now_s):
             self.metrics.count('registry_places_expired_total')
             log_change(
                 'registry:place_expired',
-                number=location.number,
-                instance=location.instance,
+                number=reservation.number,
+                instance=reservation.instance,
             )
         self.metrics.gauge('registry_upstreams', len(self.upstreams.entries))
         self.metrics.gauge('registry_entries', len(self.entries.entries))
 
     async def on_poll(self, sender: str, body: bytes) -> bytes:
-        """Answer an entry VM, or a control VM, with what is new to it."""
+        """Answer the poll of an entry VM or another control VM."""
         poll = decode(ttypes.Poll, body)
-        self.hear(poll, self.timer.now())
+        self.apply_poll(poll, self.timer.now())
         self.metrics.count(
             'registry_polls_total',
             role='control' if poll.from_control else 'entry',
         )
         return encode(self.reply(poll))
 
-    def hear(self, poll: ttypes.Poll, now_s: float) -> None:
-        """Take what an entry VM tells."""
-        self.tables.take_newer(poll.newer or ())
+    def apply_poll(self, poll: ttypes.Poll, now_s: float) -> None:
+        """Apply what an entry VM reports with its poll."""
+        self.tables.apply_newer(poll.newer or ())
         if poll.entry is None:
             return
         record = entry_from_wire(poll.entry)
         if record.name not in self.entries.entries:
             log_change('registry:entry_heard', entry=record.name)
-        self.entries.hear(record, now_s)
-        self.take_prefixes(poll.prefixes, now_s)
+        self.entries.record_poll(record, now_s)
+        self.record_prefixes(poll.prefixes, now_s)
         self.quarantine.join(suspects_from_wire(poll.suspects, now_s))
         if poll.report is None:
-            self.ledger.forget(record.name)
+            self.ledger.remove_entry(record.name)
         else:
             self.apply_report(record.name, poll.report)
 
     def apply_report(self, name: str, report: ttypes.LoadReport) -> bool:
-        """Take an entry VM's requests; False where later ones are known."""
+        """Apply an entry VM's report; False if a later one was applied."""
         now_s = self.timer.now()
-        self.take_prefixes(report.prefixes, now_s)
+        self.record_prefixes(report.prefixes, now_s)
         self.quarantine.join(suspects_from_wire(report.suspects, now_s))
-        read = report_from_wire(report, self.source, now_s)
-        if not self.ledger.report(name, read):
+        parsed = report_from_wire(report, self.source, now_s)
+        if not self.ledger.apply_report(name, parsed):
             return False
-        for notice in self.report_notices:
-            notice(name, report, read)
+        for listener in self.report_listeners:
+            listener(name, report, parsed)
         return True
 
-    def subscribe(self, notice: ReportNotice) -> None:
-        """Tell of each report that is taken from now on."""
-        self.report_notices.append(notice)
+    def subscribe(self, listener: ReportListener) -> None:
+        """Call a listener with each report that is applied from now on."""
+        self.report_listeners.append(listener)
 
-    def take_prefixes(
+    def record_prefixes(
         self,
-        announcement: list[ttypes.PrefixInfo] | None,
+        structs: list[ttypes.PrefixInfo] | None,
         now_s: float,
     ) -> None:
-        """Take what an entry VM's requests have shown of kept prompts."""
-        for read in prefixes_from_wire(announcement, now_s):
-            self.heard_prefixes.record(read)
-            self.prefixes.record(read)
+        """Record the cached prefixes that an entry VM reports."""
+        for prefix in prefixes_from_wire(structs, now_s):
+            self.reported_prefixes.record(prefix)
+            self.prefixes.record(prefix)
 
     def reply(self, poll: ttypes.Poll) -> ttypes.PollReply:
-        """Return what is newer than what whoever asks holds."""
+        """Return the changes after the versions stated in a poll."""
         now_s = self.timer.now()
-        held = {one.source: one for one in poll.held or ()}
+        held = {table.source: table for table in poll.held or ()}
         prefixes = self.prefixes
         if poll.from_control:
-            prefixes = self.heard_prefixes
+            prefixes = self.reported_prefixes
         suspects = self.suspects_for(poll)
         return ttypes.PollReply(
             source=self.source,
-            tables=self.news_for(poll, held, now_s),
+            tables=self.updates_for(poll, held, now_s),
             region=self.location.region,
             loads=self.loads_for(poll, now_s),
-            misses_tables=self.tables.misses_any(now_s),
+            misses_tables=self.tables.has_stale_table(now_s),
             prefixes=prefixes_to_wire(
                 prefixes_after(prefixes, poll.prefixes_version),
                 now_s,
@@ -338,24 +355,25 @@
         )
 
     def suspects_for(self, poll: ttypes.Poll) -> SuspectUpdate:
-        """Return the suspected requests that are new to whoever asks.
+        """Return the suspected requests that changed after a poll's version.
 
-        Entry VMs hear of those that may soon be kept back; control VMs of
-        all, since only together they may know that.
+        Entry VMs receive those that may soon be quarantined; control VMs
+        receive all, since a quarantine may depend on losses known to several
+        of them.
         """
         version = poll.suspects_version
         if version is None or version < 0:
             return SuspectUpdate((), None)
-        least = 0 if poll.from_control else SUSPECTED_CRASHES
-        return self.quarantine.table.delta(version, least)
+        min_losses = 0 if poll.from_control else SUSPECTED_CRASHES
+        return self.quarantine.table.delta(version, min_losses)
 
-    def own_news(
+    def own_update(
         self,
         held: ttypes.TableHeld | None,
         now_s: float,
     ) -> ttypes.TableNews:
-        """Return what is new in this control VM's own table."""
-        return own_news(
+        """Return the changes in this control VM's own table."""
+        return own_update(
             self.source,
             self.location,
             self.upstreams,
@@ -364,35 +382,38 @@
             now_s,
         )
 
-    def news_for(
+    def updates_for(
         self,
         poll: ttypes.Poll,
         held: Mapping[str, ttypes.TableHeld],
         now_s: float,
     ) -> list[ttypes.TableNews]:
-        """Return what is new in the tables that are asked for."""
+        """Return the changes in the requested tables."""
         if poll.scope == Scope.none:
             return []
-        own = self.own_news(held.get(self.source), now_s)
+        own = self.own_update(held.get(self.source), now_s)
         is_report = poll.entry is not None
         if poll.wants_loads and not is_report:
             own.loads = loads_to_wire(self.ledger.totals.items())
             own.admitted = admitted_to_wire(self.admitted)
         if poll.scope == Scope.own:
             return [own]
-        loads = poll.from_control
-        return [own, *self.tables.news(held, now_s, with_loads=loads)]
+        with_loads = poll.from_control
+        return [
+            own,
+            *self.tables.updates(held, now_s, with_loads=with_loads),
+        ]
 
     def loads_for(
         self,
         poll: ttypes.Poll,
         now_s: float,
     ) -> list[ttypes.UpstreamLoad] | None:
-        """Return the requests of others; None where they are not asked for."""
+        """Return the loads by other entry VMs; None if not requested."""
         if poll.entry is None or not poll.wants_loads:
             return None
-        mine = dict(self.ledger.totals_without(poll.entry.name))
-        summed = SummedLoads((mine, self.tables.loads(now_s)))
+        reported_here = dict(self.ledger.totals_without(poll.entry.name))
+        summed = SummedLoads((reported_here, self.tables.loads(now_s)))
         return loads_to_wire(summed.items())
 
 
@@ -400,7 +421,7 @@
     prefixes: PrefixTable,
     version: int | None,
 ) -> tuple[CachedPrefix, ...]:
-    """Return what was read after a version; nothing where not asked."""
+    """Return the prefixes recorded after a version; none if not requested."""
     if version is None or version < 0:
         return ()
     return prefixes.since(version)
--- a/godwitshunt/registry/suspect_wire.py
+++ b/godwitshunt/registry/suspect_wire.py
@@ -1,4 +1,4 @@
-"""Between lost requests and their thrift structs."""
+"""Conversion between lost requests and their thrift structs."""
 
 from collections.abc import Iterable
 
@@ -14,7 +14,7 @@
     now_s: float,
 ) -> list[ttypes.SuspectInfo]:
     """Return lost requests as structs, with their ages."""
-    return [suspect_to_wire(one, now_s) for one in records]
+    return [suspect_to_wire(record, now_s) for record in records]
 
 
 def suspect_to_wire(
@@ -47,7 +47,7 @@
 
 
 def suspects_from_wire(
-    told: Iterable[ttypes.SuspectInfo] | None,
+    structs: Iterable[ttypes.SuspectInfo] | None,
     now_s: float,
 ) -> tuple[SuspectRecord, ...]:
     """Read lost requests.
@@ -55,30 +55,32 @@
     Raises
     ------
     FrameError
-        Where one has no fingerprint, or something is missing.
+        If a fingerprint has the wrong length or a field is missing.
     """
     try:
-        return tuple(suspect_from_wire(one, now_s) for one in told or ())
+        return tuple(
+            suspect_from_wire(struct, now_s) for struct in structs or ()
+        )
     except (TypeError, AttributeError) as bad:
         raise FrameError(f'SuspectInfo: {bad!r}') from None
 
 
 def suspect_from_wire(
-    info: ttypes.SuspectInfo,
+    struct: ttypes.SuspectInfo,
     now_s: float,
 ) -> SuspectRecord:
     """Read one lost request."""
-    if len(info.fingerprint) != DIGEST_BYTES:
-        raise FrameError(f'SuspectInfo: {len(info.fingerprint)} bytes')
+    if len(struct.fingerprint) != DIGEST_BYTES:
+        raise FrameError(f'SuspectInfo: {len(struct.fingerprint)} bytes')
     record = SuspectRecord(
-        Fingerprint(info.fingerprint),
-        info.organisation or '',
-        int(info.body_bytes),
+        Fingerprint(struct.fingerprint),
+        struct.organisation or '',
+        int(struct.body_bytes),
     )
-    for cleared in info.clearances or ():
-        at_s = now_s - cleared.age_ms / MILLISECONDS
-        record.add_clearance(cleared.name, at_s)
-    for lost in info.losses or ():
+    for clearance in struct.clearances or ():
+        at_s = now_s - clearance.age_ms / MILLISECONDS
+        record.add_clearance(clearance.name, at_s)
+    for lost in struct.losses or ():
         exposure_s = lost.exposure_ms / MILLISECONDS
         at_s = now_s - lost.age_ms / MILLISECONDS
         record.add_loss(Loss(lost.place, at_s, exposure_s))
--- a/godwitshunt/registry/table.py
+++ b/godwitshunt/registry/table.py
@@ -1,55 +1,56 @@
-"""The table of upstreams that a control VM has heard of; pure.
+"""The table of upstreams that announced themselves to a control VM.
 
-Each change gets the next version, so that an entry VM asks for what is newer
-than the version it holds. Times are seconds on this VM's monotonic clock.
+Each change receives the next version, so that an entry VM can request what
+changed after the version that it holds. No I/O; times are seconds on this
+VM's monotonic clock.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from godwitshunt.registry.records import UpstreamAnnounced, incarnation_name
-from godwitshunt.registry.starts import (
-    LATE_WORD_S,
-    TOMBSTONE_S,
-    EndedStart,
-    EndedStarts,
-    is_other_start,
+from godwitshunt.registry.incarnations import (
+    MAX_ANNOUNCEMENT_DELAY_S,
+    TOMBSTONE_TTL_S,
+    EndedIncarnation,
+    EndedIncarnations,
+    is_other_incarnation,
 )
+from godwitshunt.registry.records import UpstreamAnnounced, incarnation_name
 from godwitshunt.settings import Address
 
-# Announcements come every 1.2 s and some are seconds late; an upstream that
-# crashed sends nothing. Three lost in a row make it silent, which alone takes
-# no work from it as long as its answers come.
+# Announcements are sent every 1.2 s and some are seconds late; an upstream
+# that crashed sends none. After three missed in a row it is marked silent,
+# which by itself takes no requests from it while it still responds to them.
 SILENT_AFTER_S = 4.5
-# A silent upstream that nothing was heard of for so long is forgotten.
-FORGOTTEN_AFTER_S = 60.0
+# A silent upstream is removed after this time without an announcement.
+EXPIRED_AFTER_S = 60.0
 # A new incarnation at an address replaces one that missed two announcements.
-REPLACED_AFTER_S = 2.5
-# Remaining cold time falls by itself; only a rise beyond this is news.
+REPLACEABLE_AFTER_S = 2.5
+# The remaining cold time falls by itself; only a rise beyond this is a change.
 COLD_MARGIN_S = 0.5
 
 
 @dataclass(frozen=True)
 class Taken:
-    """The announcement is the newest of its incarnation."""
+    """The announcement is the newest of its incarnation and was applied."""
 
 
 @dataclass(frozen=True)
 class Stale:
-    """The incarnation has left, or has announced something newer."""
+    """The incarnation has ended, or a newer announcement was applied."""
 
 
 @dataclass(frozen=True)
 class Foreign:
-    """It tells another service or place of a start that is heard.
+    """The announcement contradicts an incarnation that is still announcing.
 
-    No start changes them; so another writer uses the upstream's name, and
-    what it says must not cost the upstream its place.
+    An incarnation never changes its service, address or failure domain; so
+    another writer is using its name, whose announcements must not displace it.
 
     Parameters
     ----------
     field : str
-        What differs.
+        The field that differs.
     """
 
     field: str
@@ -63,33 +64,33 @@
     """One incarnation in the table."""
 
     announcement: UpstreamAnnounced
-    heard_s: float
+    last_seen_s: float
     cold_until_s: float
     version: int
     silent: bool = False
 
 
 @dataclass(frozen=True)
-class GoneStart:
-    """A start that ended, the version of that, and when."""
+class Tombstone:
+    """An ended incarnation, with the version and the time of its end."""
 
-    start: EndedStart
+    incarnation: EndedIncarnation
     version: int
-    gone_s: float
+    ended_s: float
 
 
 @dataclass
 class UpstreamTable:
-    """Every upstream that announced itself here and has not left.
+    """The upstreams that announced themselves here and have not left.
 
     Parameters
     ----------
     entries : dict
-        The newest start of each, by what the upstream calls itself.
-    gone : dict
-        Starts that ended, by incarnation; entry VMs are told of them.
-    ends : EndedStarts
-        Tells late words of the past from a later start.
+        Newest incarnation of each upstream, by instance name.
+    tombstones : dict
+        Ended incarnations by name, for updates to entry VMs.
+    ends : EndedIncarnations
+        Distinguishes late announcements from those of a later incarnation.
 
     Examples
     --------
@@ -103,8 +104,8 @@
     """
 
     entries: dict[str, UpstreamEntry] = field(default_factory=dict)
-    gone: dict[str, GoneStart] = field(default_factory=dict)
-    ends: EndedStarts = field(default_factory=EndedStarts)
+    tombstones: dict[str, Tombstone] = field(default_factory=dict)
+    ends: EndedIncarnations = field(default_factory=EndedIncarnations)
     version: int = 0
 
     def announce(
@@ -112,35 +113,45 @@
         announcement: UpstreamAnnounced,
         now_s: float,
     ) -> AnnounceOutcome:
-        """Take an announcement; a late one of the past changes nothing."""
-        if self.ends.covers(announcement.instance, announcement.born_ms, now_s):
+        """Apply an announcement; a late one changes nothing."""
+        if self.ends.covers(
+            announcement.instance,
+            announcement.born_ms,
+            now_s,
+        ):
             return Stale()
         known = self.entries.get(announcement.instance)
-        if known is not None and is_other_start(
-            known.announcement, announcement
+        if known is not None and is_other_incarnation(
+            known.announcement,
+            announcement,
         ):
-            if not self.follows(known, announcement, now_s):
+            if not self.is_successor(known, announcement, now_s):
                 return Stale()
-            self.end_start(known.announcement, now_s)
-            # The one that ended began later by its clock, which was set back;
-            # as an end it would cover the one that follows it.
+            self.end_incarnation(known.announcement, now_s)
+            # If the clock was set back, the ended incarnation has the later
+            # start time; recorded as an end it would cover its successor.
             self.ends.by_instance.pop(announcement.instance, None)
             known = None
         if known is None:
             self.add(announcement, now_s)
             return Taken()
-        return self.renew(known, announcement, now_s)
+        return self.apply_to_known(known, announcement, now_s)
 
-    def renew(
+    def apply_to_known(
         self,
         known: UpstreamEntry,
         announcement: UpstreamAnnounced,
         now_s: float,
     ) -> AnnounceOutcome:
-        """Take another announcement of the start that is known."""
-        field_name = other_place(known.announcement, announcement)
+        """Apply another announcement of the known incarnation."""
+        field_name = conflicting_field(known.announcement, announcement)
         if field_name is not None:
-            return self.move(known, announcement, field_name, now_s)
+            return self.resolve_conflict(
+                known,
+                announcement,
+                field_name,
+                now_s,
+            )
         if announcement.sequence <= known.announcement.sequence:
             return Stale()
         self.update(
@@ -150,59 +161,62 @@
         )
         return Taken()
 
-    def move(
+    def resolve_conflict(
         self,
         known: UpstreamEntry,
         announcement: UpstreamAnnounced,
         field_name: str,
         now_s: float,
     ) -> AnnounceOutcome:
-        """Take a word that tells another place, where the known one is silent.
+        """Replace the known incarnation by a conflicting one if it is silent.
 
-        Which of two writers owns the name is not told; the one that goes on
-        to announce itself keeps it.
+        Nothing tells which of the two writers owns the name; the one that
+        continues to announce itself keeps it.
         """
-        if now_s - known.heard_s <= SILENT_AFTER_S:
+        if now_s - known.last_seen_s <= SILENT_AFTER_S:
             return Foreign(field_name)
         self.entries.pop(known.announcement.instance)
         self.add(announcement, now_s)
         return Taken()
 
-    def follows(
+    def is_successor(
         self,
         known: UpstreamEntry,
         announcement: UpstreamAnnounced,
         now_s: float,
     ) -> bool:
-        """Tell whether a start came after the one that is known.
+        """Return whether an incarnation started after the known one.
 
-        One that began earlier by its own clock is a late word of the past, as
-        long as words of that may come; after it, its clock was set back.
+        An earlier start time means a late announcement for as long as one may
+        arrive; after that, the upstream's clock was set back.
         """
         if (
             known.announcement.born_ms is None
             or announcement.born_ms > known.announcement.born_ms
         ):
             return True
-        return now_s - known.heard_s > LATE_WORD_S
+        return now_s - known.last_seen_s > MAX_ANNOUNCEMENT_DELAY_S
 
     def restore(
         self,
         upstreams: Iterable[UpstreamAnnounced],
-        ends: Iterable[EndedStart],
+        ends: Iterable[EndedIncarnation],
         now_s: float,
     ) -> None:
-        """Take up what this VM knew before its process ended.
+        """Restore the upstreams that the previous process stored.
 
-        Nobody has heard of these upstreams since, so they are silent: others
-        are better, and another one at their address takes their place.
+        They have not announced themselves to this process and are therefore
+        silent: others are preferred, and another upstream at the same address
+        replaces them.
         """
-        for start in ends:
-            self.ends.note(start, now_s)
-            self.note_gone(start, now_s)
+        for ended in ends:
+            self.ends.record(ended, now_s)
+            self.add_tombstone(ended, now_s)
         for announcement in upstreams:
             if self.ends.covers(
-                announcement.instance, announcement.born_ms, now_s
+                announcement.instance,
+                announcement.born_ms,
+                now_s,
             ):
                 continue
             self.entries[announcement.instance] = UpstreamEntry(
@@ -214,7 +228,7 @@
             )
 
     def add(self, announcement: UpstreamAnnounced, now_s: float) -> None:
-        """Take a start that was not known."""
+        """Add an incarnation that is not in the table."""
         self.replace_silent(announcement.address, now_s)
         self.entries[announcement.instance] = UpstreamEntry(
             announcement,
@@ -229,30 +243,30 @@
         announcement: UpstreamAnnounced,
         now_s: float,
     ) -> None:
-        """Take a newer announcement; a version only where it says more."""
+        """Apply a newer announcement; a new version only if it changes any."""
         before = replace(known.announcement, sequence=0, cold_s=0)
         after = replace(announcement, sequence=0, cold_s=0)
-        # An incarnation that began to drain never goes back.
+        # An incarnation that is draining never accepts requests again.
         after = replace(after, draining=after.draining or before.draining)
         cold_until_s = now_s + announcement.cold_s
         warms_later = cold_until_s > known.cold_until_s + COLD_MARGIN_S
-        is_news = before != after or known.silent
-        if is_news or (announcement.cold_s > 0 and warms_later):
+        is_change = before != after or known.silent
+        if is_change or (announcement.cold_s > 0 and warms_later):
             known.version = self.next_version()
         known.announcement = replace(announcement, draining=after.draining)
-        known.heard_s = now_s
+        known.last_seen_s = now_s
         known.cold_until_s = cold_until_s
         known.silent = False
 
     def replace_silent(self, address: Address, now_s: float) -> None:
-        """Drop incarnations that another one has followed at an address."""
+        """End the incarnations that another one replaces at an address."""
         for known in tuple(self.entries.values()):
-            silent_s = now_s - known.heard_s
+            silent_s = now_s - known.last_seen_s
             if (
                 known.announcement.address == address
-                and silent_s > REPLACED_AFTER_S
+                and silent_s > REPLACEABLE_AFTER_S
             ):
-                self.end_start(known.announcement, now_s)
+                self.end_incarnation(known.announcement, now_s)
 
     def withdraw(
         self,
@@ -260,75 +274,85 @@
         now_s: float,
         now_ms: float | None = None,
     ) -> None:
-        """Let the start of an upstream that is known be gone for good.
+        """End the known incarnation of an upstream for good.
 
         Parameters
         ----------
         instance : str
-            What the upstream calls itself.
+            Name that the upstream gives itself.
         now_s : float
             Monotonic seconds.
         now_ms : float or None
-            Unix milliseconds; tells a later start from the one that left,
-            where that one was not heard here.
+            Unix milliseconds; distinguishes a later incarnation from the
+            withdrawn one if that never announced itself here.
         """
         known = self.entries.get(instance)
         if known is not None:
-            self.end_start(known.announcement, now_s)
+            self.end_incarnation(known.announcement, now_s)
             return
-        self.ends.note(EndedStart(instance), now_s, now_ms)
-        self.note_gone(EndedStart(instance), now_s)
+        self.ends.record(EndedIncarnation(instance), now_s, now_ms)
+        self.add_tombstone(EndedIncarnation(instance), now_s)
 
-    def end_start(self, announcement: UpstreamAnnounced, now_s: float) -> None:
-        """Let one start be gone for good."""
+    def end_incarnation(
+        self,
+        announcement: UpstreamAnnounced,
+        now_s: float,
+    ) -> None:
+        """End one incarnation for good."""
         self.entries.pop(announcement.instance, None)
-        start = EndedStart(announcement.instance, announcement.born_ms)
-        self.ends.note(start, now_s)
-        self.note_gone(start, now_s)
-
-    def note_gone(self, start: EndedStart, now_s: float) -> None:
-        """Make an end news."""
-        name = incarnation_name(start.instance, start.born_ms)
-        if name not in self.gone:
-            self.gone[name] = GoneStart(start, self.next_version(), now_s)
+        ended = EndedIncarnation(announcement.instance, announcement.born_ms)
+        self.ends.record(ended, now_s)
+        self.add_tombstone(ended, now_s)
+
+    def add_tombstone(self, ended: EndedIncarnation, now_s: float) -> None:
+        """Add the end of an incarnation as a new version."""
+        name = incarnation_name(ended.instance, ended.born_ms)
+        if name not in self.tombstones:
+            self.tombstones[name] = Tombstone(
+                ended,
+                self.next_version(),
+                now_s,
+            )
 
     def tick(self, now_s: float) -> None:
-        """Note who has fallen silent; forget what is long past."""
+        """Mark silent upstreams and remove what has expired."""
         for known in tuple(self.entries.values()):
-            silent_s = now_s - known.heard_s
-            if silent_s > FORGOTTEN_AFTER_S:
-                self.end_start(known.announcement, now_s)
+            silent_s = now_s - known.last_seen_s
+            if silent_s > EXPIRED_AFTER_S:
+                self.end_incarnation(known.announcement, now_s)
             elif silent_s > SILENT_AFTER_S and not known.silent:
                 known.silent = True
                 known.version = self.next_version()
-        self.ends.forget(now_s)
-        for name, gone in tuple(self.gone.items()):
-            if now_s - gone.gone_s > TOMBSTONE_S:
-                self.gone.pop(name)
+        self.ends.expire(now_s)
+        for name, tombstone in tuple(self.tombstones.items()):
+            if now_s - tombstone.ended_s > TOMBSTONE_TTL_S:
+                self.tombstones.pop(name)
 
     def changed_since(self, version: int) -> tuple[UpstreamEntry, ...]:
-        """Return the incarnations with news after a version."""
+        """Return the incarnations that changed after a version."""
         return tuple(
             known for known in self.entries.values() if known.version > version
         )
 
-    def gone_since(self, version: int) -> tuple[EndedStart, ...]:
-        """Return the starts that ended after a version."""
+    def ended_since(self, version: int) -> tuple[EndedIncarnation, ...]:
+        """Return the incarnations that ended after a version."""
         return tuple(
-            one.start for one in self.gone.values() if one.version > version
+            tombstone.incarnation
+            for tombstone in self.tombstones.values()
+            if tombstone.version > version
         )
 
     def next_version(self) -> int:
-        """Return the version of the next change."""
+        """Increment the version and return it."""
         self.version += 1
         return self.version
 
 
-def other_place(
+def conflicting_field(
     known: UpstreamAnnounced,
     announcement: UpstreamAnnounced,
 ) -> str | None:
-    """Return the first field of a start's place that differs; None for none."""
+    """Return the first immutable field that differs; None if none does."""
     for name in ('service', 'address', 'failure_domain'):
         if getattr(announcement, name) != getattr(known, name):
             return name
--- a/godwitshunt/registry/table_updates.py
+++ b/godwitshunt/registry/table_updates.py
@@ -1,8 +1,8 @@
-"""Telling one control VM's table to others: the control VM itself, or a relay.
+"""Updates of a control VM's table, sent by itself or relayed by another VM.
 
-A table's versions are its control VM's own, wherever it is held. So whoever
-asks says which version it holds, and may be answered by any process that
-holds the same one or a later one. Pure.
+The versions of a table are assigned by its control VM, whichever process holds
+a copy. So a poll states the version that its sender holds, and any process
+that holds the same or a later version can answer it. No I/O.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,12 +12,12 @@
 from godwitshunt.registry.entries import EntryTable
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.table import UpstreamTable
-from godwitshunt.registry.views import ControlTable, HeardUpstream
+from godwitshunt.registry.views import ControlTable, ReportedUpstream
 from godwitshunt.registry.wire import (
     MILLISECONDS,
+    address_to_wire,
     admitted_to_wire,
     announcement_to_wire,
-    endpoint,
     ends_to_wire,
     entry_to_wire,
     loads_to_wire,
@@ -27,7 +27,7 @@
 
 
 class Scope(IntEnum):
-    """Whose tables are asked for: nobody's, the asked one's own, or all."""
+    """Tables that a poll requests: none, the receiver's own, or all."""
 
     none = 0
     own = 1
@@ -36,18 +36,18 @@
 
 @dataclass(frozen=True)
 class ControlLocation:
-    """A control VM, and which others there are.
+    """Address and region of a control VM, and how it finds the others.
 
     Parameters
     ----------
     address : Address
-        Where peers reach it.
+        Its peer address.
     region : str
-        Where it stands.
+        Its region.
     regions : mapping
         Region of each failure domain.
     others : callable
-        Returns the peer addresses of the control VMs that are known.
+        Returns the peer addresses of the known control VMs.
     """
 
     address: Address
@@ -56,10 +56,10 @@
     others: Callable[[], tuple[Address, ...]]
 
 
-NOTHING = ttypes.TableHeld(source='', version=0, entries_version=0)
+NO_TABLE = ttypes.TableHeld(source='', version=0, entries_version=0)
 
 
-def own_news(
+def own_update(
     source: str,
     location: ControlLocation,
     upstreams: UpstreamTable,
@@ -67,90 +67,90 @@
     held: ttypes.TableHeld | None,
     now_s: float,
 ) -> ttypes.TableNews:
-    """Return what is new in a control VM's own table.
+    """Return the changes in a control VM's own table.
 
     Parameters
     ----------
     source : str
-        The control VM's process.
+        Process of the control VM.
     location : ControlLocation
-        Where it stands.
+        Its address and region.
     held : TableHeld or None
-        What whoever asks holds of it; None for nothing.
+        Version that the receiver holds; None for no copy.
     """
     whole = held is None
-    known = held or NOTHING
+    known = held or NO_TABLE
     return ttypes.TableNews(
-        control=endpoint(location.address) if whole else None,
+        control=address_to_wire(location.address) if whole else None,
         source=source,
         version=upstreams.version,
         whole=whole,
         age_ms=0,
         region=location.region if whole else None,
         upstreams=[
-            upstream_to_wire(one, now_s)
-            for one in upstreams.changed_since(known.version)
+            upstream_to_wire(row, now_s)
+            for row in upstreams.changed_since(known.version)
         ],
-        gone=ends_to_wire(upstreams.gone_since(known.version)),
+        gone=ends_to_wire(upstreams.ended_since(known.version)),
         entries=[
-            entry_to_wire(one)
-            for one in entries.changed_since(known.entries_version)
+            entry_to_wire(row)
+            for row in entries.changed_since(known.entries_version)
         ],
-        gone_entries=list(entries.gone_since(known.entries_version)),
+        gone_entries=list(entries.departed_since(known.entries_version)),
         entries_version=entries.version,
     )
 
 
-def relayed_news(
+def relayed_update(
     table: ControlTable,
     held: ttypes.TableHeld | None,
     now_s: float,
     *,
     with_loads: bool,
 ) -> ttypes.TableNews:
-    """Return what is new in a table that another control VM told.
+    """Return the changes in a copy of another control VM's table.
 
-    Where whoever asks holds a later version, only the age is told.
+    If the receiver holds a later version, the update contains only the age.
 
     Parameters
     ----------
     with_loads : bool
-        True where requests at upstreams are told as well. They are told only
-        where they are as new as the table.
+        True to include the loads of upstreams. They are included only if they
+        are as recent as the table.
     """
     loads = None
     admitted: list[ttypes.AdmittedUnits] = []
-    if with_loads and table.loads_asof_s >= table.answered_s:
+    if with_loads and table.loads_asof_s >= table.asof_s:
         loads = loads_to_wire(table.loads.items())
         admitted = admitted_to_wire(table.admitted)
     whole = held is None
-    known = held or NOTHING
+    known = held or NO_TABLE
     return ttypes.TableNews(
-        control=endpoint(table.control) if whole else None,
+        control=address_to_wire(table.control) if whole else None,
         source=table.source,
         version=table.version,
         whole=whole,
-        age_ms=max(0, int((now_s - table.answered_s) * MILLISECONDS)),
+        age_ms=max(0, int((now_s - table.asof_s) * MILLISECONDS)),
         region=table.region if whole else None,
         upstreams=[
-            heard_to_wire(one, now_s)
-            for one in table.upstreams.values()
-            if one.version > known.version
+            reported_to_wire(row, now_s)
+            for row in table.upstreams.values()
+            if row.version > known.version
         ],
         gone=ends_to_wire(
-            one.start
-            for one in table.gone.values()
-            if one.version > known.version
+            row.incarnation
+            for row in table.tombstones.values()
+            if row.version > known.version
         ),
         entries=[
-            entry_to_wire(one.record)
-            for one in table.entries.values()
-            if one.record is not None and one.version > known.entries_version
+            entry_to_wire(row.record)
+            for row in table.entries.values()
+            if row.record is not None and row.version > known.entries_version
         ],
         gone_entries=[
             name
-            for name, one in table.entries.items()
-            if one.record is None and one.version > known.entries_version
+            for name, row in table.entries.items()
+            if row.record is None and row.version > known.entries_version
         ],
         entries_version=table.entries_version,
         loads=loads,
@@ -158,12 +158,17 @@
     )
 
 
-def heard_to_wire(one: HeardUpstream, now_s: float) -> ttypes.UpstreamInfo:
-    """Return an incarnation that another control VM told of as a struct."""
-    ends_in_s = None if one.ends_at_s is None else one.ends_at_s - now_s
+def reported_to_wire(
+    reported: ReportedUpstream,
+    now_s: float,
+) -> ttypes.UpstreamInfo:
+    """Return an incarnation that another control VM reported as a struct."""
+    ends_in_s = (
+        None if reported.ends_at_s is None else reported.ends_at_s - now_s
+    )
     return announcement_to_wire(
-        one.announcement,
-        cold_s=one.cold_until_s - now_s,
+        reported.announcement,
+        cold_s=reported.cold_until_s - now_s,
         ends_in_s=ends_in_s,
-        silent=one.silent,
+        silent=reported.silent,
     )
--- a/godwitshunt/registry/tests/deployment.py
+++ b/godwitshunt/registry/tests/deployment.py
@@ -1,4 +1,4 @@
-"""Entry VMs and control VMs in one process; tests carry their messages."""
+"""Entry VMs and control VMs in one process, linked in memory."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -26,47 +26,49 @@
 
 
 def control_location(number: int = 1, domain: str = 'a') -> ControlLocation:
-    """Return where a control VM stands that knows no other."""
+    """Return the location of a control VM that knows no others."""
     return ControlLocation(address(number), REGIONS[domain], REGIONS, tuple)
 
 
 @dataclass
 class Network:
-    """Who reaches whom, one way each, and who listens where.
+    """A network with one-way failures, and the handlers at each address.
 
     Parameters
     ----------
-    listening : dict
-        Handlers of each address, by the kind of message.
+    handlers : dict
+        Handlers of each address, by message kind.
     cut : set
-        Pairs of address: nothing passes from the first to the second.
-    takes : callable
-        Lets the time pass that one way takes.
+        Pairs of addresses: messages from the first to the second are lost.
+    frozen : set
+        Addresses of VMs that neither receive nor send.
+    delay : callable
+        Advances the time by the delay of one direction.
     """
 
-    listening: dict[Address, dict[int, Handler]] = field(default_factory=dict)
+    handlers: dict[Address, dict[int, Handler]] = field(default_factory=dict)
     cut: set[tuple[Address, Address]] = field(default_factory=set)
     frozen: set[Address] = field(default_factory=set)
-    takes: Callable[[], None] = lambda: None
+    delay: Callable[[], None] = lambda: None
 
-    def passes(self, one: Address, other: Address) -> bool:
-        """Tell whether a message passes one way."""
-        here = one not in self.frozen and other not in self.frozen
-        return here and (one, other) not in self.cut
+    def delivers(self, sender: Address, receiver: Address) -> bool:
+        """Return whether a message is delivered in one direction."""
+        running = sender not in self.frozen and receiver not in self.frozen
+        return running and (sender, receiver) not in self.cut
 
-    def split(self, one: Address, other: Address) -> None:
-        """Let nothing pass between two VMs."""
-        self.cut |= {(one, other), (other, one)}
+    def split(self, first: Address, second: Address) -> None:
+        """Cut the connection of two VMs in both directions."""
+        self.cut |= {(first, second), (second, first)}
 
     def heal(self) -> None:
-        """Let everything pass."""
+        """Deliver all messages again."""
         self.cut.clear()
         self.frozen.clear()
 
 
 @dataclass
-class CarriedLinks:
-    """Links of one VM; each message is handled while its sender waits."""
+class InMemoryLinks:
+    """Links of one VM; messages are handled synchronously."""
 
     own: Address
     name: str
@@ -74,8 +76,8 @@
     calls: list[tuple[Address, int]] = field(default_factory=list)
 
     def subscribe(self, kind: int, handler: Handler) -> None:
-        """Hand messages of a kind to a handler."""
-        self.network.listening.setdefault(self.own, {})[kind] = handler
+        """Register a handler for a message kind."""
+        self.network.handlers.setdefault(self.own, {})[kind] = handler
 
     async def call(
         self,
@@ -84,30 +86,30 @@
         body: bytes,
         timeout_s: float,
     ) -> Ok[bytes] | Err[NotSent | OutcomeUnknown]:
-        """Carry a message and its reply."""
+        """Deliver a message and its reply."""
         self.calls.append((target, kind))
-        handler = self.network.listening.get(target, {}).get(kind)
-        if handler is None or not self.network.passes(self.own, target):
+        handler = self.network.handlers.get(target, {}).get(kind)
+        if handler is None or not self.network.delivers(self.own, target):
             return Err(NotSent(str(target), 'cut'))
-        self.network.takes()
+        self.network.delay()
         reply = await handler(self.name, body)
-        self.network.takes()
-        if reply is None or not self.network.passes(target, self.own):
+        self.network.delay()
+        if reply is None or not self.network.delivers(target, self.own):
             return Err(OutcomeUnknown(str(target), 'cut'))
         return Ok(reply)
 
     def tell(self, target: Address, kind: int, body: bytes) -> None:
-        """Carry a message that nobody answers."""
-        handler = self.network.listening.get(target, {}).get(kind)
-        if handler is None or not self.network.passes(self.own, target):
+        """Deliver a message that has no reply."""
+        handler = self.network.handlers.get(target, {}).get(kind)
+        if handler is None or not self.network.delivers(self.own, target):
             return
-        waiting = handler(self.name, body)
+        coroutine = handler(self.name, body)
         try:
-            waiting.send(None)
+            coroutine.send(None)
         except StopIteration:
             return
-        waiting.close()
-        raise AssertionError('a report was not handled at once')
+        coroutine.close()
+        raise AssertionError('the handler of a one-way message suspended')
 
 
 class Deployment:
@@ -134,29 +136,27 @@
         return tuple(map(address, self.domains))
 
     def start_control(self, number: int) -> RegistryService:
-        """Return a control VM's registry that has just started."""
-        links = CarriedLinks(address(number), f'c-{number}', self.network)
-        control_location = ControlLocation(
+        """Start a control VM; return its registry."""
+        links = InMemoryLinks(address(number), f'c-{number}', self.network)
+        location = ControlLocation(
             address(number),
             REGIONS[self.domains[number]],
             REGIONS,
             lambda: self.addresses,
         )
-        service = RegistryService(
-            control_location, links, self.timer, Metrics()
-        )
+        service = RegistryService(location, links, self.timer, Metrics())
         links.subscribe(MessageKind.registry_poll, service.on_poll)
         return service
 
     def restart(self, number: int) -> RegistryService:
-        """Let a control VM's process start anew, with an empty table."""
+        """Restart a control VM's process, with an empty table."""
         self.controls[number] = self.start_control(number)
         return self.controls[number]
 
     def entry(self, number: int, domain: str = 'a') -> RegistryWatch:
-        """Return an entry VM's watch."""
+        """Start an entry VM; return its watch, which polls only on request."""
         name = f'e-{number}'
-        links = CarriedLinks(address(number), name, self.network)
+        links = InMemoryLinks(address(number), name, self.network)
         record = EntryRecord(
             name,
             's',
@@ -170,7 +170,7 @@
             REGIONS[domain],
             REGIONS,
             lambda: self.addresses,
-            lambda: OwnState(record, nothing_to_report),
+            lambda: OwnState(record, empty_report),
             links,
             self.timer,
             Metrics(),
@@ -179,29 +179,29 @@
         return watch
 
     async def exchange(self, *numbers: int) -> None:
-        """Let control VMs ask one another; all of them where none is named."""
+        """Let control VMs poll the others; all of them if none is named."""
         for number in numbers or self.controls:
             for other in self.addresses:
                 if other != address(number):
-                    await self.controls[number].tables.ask(other)
+                    await self.controls[number].tables.poll(other)
 
     async def poll_controls(self, watch: RegistryWatch) -> None:
-        """Let an entry VM ask all control VMs for the first time."""
+        """Let an entry VM poll every control VM, then those that are due."""
         for number in self.controls:
             await self.poll(watch, number)
         await self.poll(watch)
 
     async def poll(self, watch: RegistryWatch, *numbers: int) -> None:
-        """Let an entry VM ask control VMs; those that are due if not named."""
+        """Let an entry VM poll control VMs; the due ones if none is named."""
         now_s = self.timer.now()
-        due = watch.contacts.to_ask(watch.known_control(), now_s, 0)
+        due = watch.contacts.due(watch.known_controls(), now_s, 0)
         names = [str(address(number)) for number in numbers] or due
-        for one in self.addresses:
-            if str(one) in names:
-                await watch.poll(one)
+        for control in self.addresses:
+            if str(control) in names:
+                await watch.poll(control)
 
 
-def nothing_to_report(source: str) -> ttypes.LoadReport:
+def empty_report(source: str) -> ttypes.LoadReport:
     """Return the report of an entry VM without requests."""
     return ttypes.LoadReport(
         number=1,
--- a/godwitshunt/registry/tests/test_after_the_dark.py
+++ b/godwitshunt/registry/tests/test_power_loss.py
@@ -1,4 +1,4 @@
-"""All machines lose power at once, and come back within a second or two."""
+"""All machines lose power at once and restart within a second or two."""
 
 import asyncio
 import threading
@@ -12,13 +12,13 @@
     LostRequest,
     QuarantineStatus,
 )
-from godwitshunt.registry.kept_upstreams import FILE_NAME, KeptUpstreams
 from godwitshunt.registry.merged_tables import MergedTables
 from godwitshunt.registry.service import RegistryService
 from godwitshunt.registry.table import Stale, Taken
 from godwitshunt.registry.tests.deployment import control_location
+from godwitshunt.registry.tests.test_merged_tables import REGIONS, table_update
 from godwitshunt.registry.tests.test_table import announced
-from godwitshunt.registry.tests.test_views import REGIONS, news
+from godwitshunt.registry.upstream_file import FILE_NAME, UpstreamFile
 from godwitshunt.storage import KeptFile, KeptRecord
 from godwitshunt.telemetry import Metrics
 from godwitshunt.timer import VirtualTimerService
@@ -28,39 +28,45 @@
 
 
 def started(folder) -> RegistryService:
-    """Return a control VM's registry that has just started."""
-    kept = KeptUpstreams(folder)
+    """Start a control VM with a data folder; return its registry."""
+    upstream_file = UpstreamFile(folder)
     timer = VirtualTimerService()
-    service = RegistryService(control_location(), None, timer, Metrics(), kept)
-    service.keeper.restore()
+    service = RegistryService(
+        control_location(),
+        None,
+        timer,
+        Metrics(),
+        upstream_file,
+    )
+    service.persistence.restore()
     return service
 
 
 async def restarted(service: RegistryService) -> RegistryService:
-    """Return the registry after a loss of power, once all was written."""
+    """Return the registry after a flush and a loss of power."""
     assert await service.flush()
-    return started(service.keeper.kept.folder)
+    return started(service.persistence.file.folder)
 
 
 async def test_upstreams_are_known_before_they_announce_themselves(tmp_path):
-    """Upstreams announce themselves each 1.2 s, each to one control VM.
+    """Upstreams announce themselves every 1.2 s, each to one control VM.
 
-    Until then callers would be refused, although every upstream is well.
+    Until then requests would be rejected although all upstreams are running.
     """
     before = started(tmp_path)
     before.announce(announced('i-1', born_ms=BORN))
     before.announce(announced('i-2', port=81))
     after = await restarted(before)
     assert set(after.upstreams.entries) == {'i-1', 'i-2'}
-    assert all(one.silent for one in after.upstreams.entries.values())
+    assert all(entry.silent for entry in after.upstreams.entries.values())
     assert after.announce(announced('i-1', 2, born_ms=BORN)) == Taken()
     assert not after.upstreams.entries['i-1'].silent
 
 
-async def test_who_leaves_does_not_come_back(tmp_path):
-    """One drains, another one said good-bye; both were acknowledged.
+async def test_departed_upstreams_are_not_restored_as_ready(tmp_path):
+    """One upstream is draining, another withdrew; both were acknowledged.
 
-    Remembered as ready, they would get requests that are cut when they exit.
+    Restored as ready, they would receive requests that fail when they exit.
     """
     before = started(tmp_path)
     before.announce(announced('i-1'))
@@ -70,26 +76,26 @@
     after = await restarted(before)
     assert after.upstreams.entries['i-1'].announcement.draining
     assert after.announce(announced('i-2', 9, port=81)) == Stale()
-    merged = MergedTables(REGIONS)
-    merged.take(news(after.upstreams, 0), 0, 0)
-    assert list(merged.view(0).upstreams) == ['i-1']
+    tables = MergedTables(REGIONS)
+    tables.apply(table_update(after.upstreams, 0), 0, 0)
+    assert list(tables.view(0).upstreams) == ['i-1']
 
 
-async def test_a_departure_kept_here_ends_what_another_vm_remembers(tmp_path):
-    """Two control VMs knew an upstream, and one took its good-bye."""
-    one, other = started(tmp_path / 'one'), started(tmp_path / 'other')
-    for service in (one, other):
+async def test_departure_stored_by_one_control_vm_applies_to_all(tmp_path):
+    """Two control VMs knew an upstream; it withdrew from one of them."""
+    first, second = started(tmp_path / 'one'), started(tmp_path / 'other')
+    for service in (first, second):
         service.announce(announced('i-1', born_ms=BORN))
-    one.withdraw('i-1')
-    after_one, after_other = await restarted(one), await restarted(other)
-    merged = MergedTables(REGIONS)
-    merged.take(news(after_other.upstreams, 0, source='c-2'), 0, 0)
-    merged.take(news(after_one.upstreams, 0), 0, 0)
-    assert merged.view(0).upstreams == {}
+    first.withdraw('i-1')
+    after_first, after_second = await restarted(first), await restarted(second)
+    tables = MergedTables(REGIONS)
+    tables.apply(table_update(after_second.upstreams, 0, source='c-2'), 0, 0)
+    tables.apply(table_update(after_first.upstreams, 0), 0, 0)
+    assert tables.view(0).upstreams == {}
 
 
-async def test_another_upstream_at_the_address_takes_its_place(tmp_path):
-    """An upstream ended in the dark, and its address was given away."""
+async def test_restored_upstream_is_replaced_at_its_address(tmp_path):
+    """An upstream ended in the outage and another one got its address."""
     before = started(tmp_path)
     before.announce(announced('i-1'))
     after = await restarted(before)
@@ -98,30 +104,30 @@
 
 
 @pytest.mark.parametrize('content', [b'', b'GWU1', b'x' * 200])
-async def test_a_damaged_file_is_none(tmp_path, content):
-    """Power was lost while the file was written, or the disk is another's."""
+async def test_damaged_file_is_ignored(tmp_path, content):
+    """Power was lost while the file was written, or the file is foreign."""
     (tmp_path / FILE_NAME).write_bytes(content)
     assert started(tmp_path).upstreams.entries == {}
 
 
-async def test_whole_file_of_another_content_is_none(tmp_path):
-    """The checksum fits, and what it covers is no table of upstreams."""
-    file = KeptUpstreams(tmp_path).file
-    written = KeptFile(file.path, file.magic)
+async def test_file_with_other_content_is_ignored(tmp_path):
+    """The checksum is right but the content is no table of upstreams."""
+    stored = UpstreamFile(tmp_path).storage
+    written = KeptFile(stored.path, stored.magic)
     written.write(KeptRecord(1, b'\xff' * 40))
     assert started(tmp_path).upstreams.entries == {}
 
 
-async def test_what_is_not_on_disk_is_not_acknowledged(tmp_path, monkeypatch):
-    """The disk is full when an upstream says that it leaves.
+async def test_departure_not_on_disk_is_not_acknowledged(tmp_path, monkeypatch):
+    """The disk is full when an upstream withdraws.
 
-    Acknowledged, it would be remembered as ready after a loss of power. The
-    disk is tried again each quarter of a second; one line tells that it fails
-    and one that it is well.
+    If this were acknowledged, the upstream would be restored as ready after a
+    loss of power. Writing is retried every quarter of a second; the failure
+    and the recovery are logged once each.
     """
     lines = []
     monkeypatch.setattr(
-        'godwitshunt.registry.keeper.log_change',
+        'godwitshunt.registry.upstream_persistence.log_change',
         lambda kind, **fields: lines.append(kind),
     )
     service = started(tmp_path)
@@ -146,41 +152,41 @@
     assert after.announce(announced('i-1', 9)) == Stale()
 
 
-async def test_a_word_that_comes_while_the_disk_writes_is_written_as_well(
+async def test_change_during_a_write_is_written_before_acknowledgement(
     tmp_path,
     monkeypatch,
 ):
-    """The disk is slow, and a second upstream leaves while it writes.
+    """A second upstream withdraws while a slow write is in progress.
 
-    Its acknowledgement must wait for a write that holds it.
+    Its acknowledgement must wait for a write that includes its withdrawal.
     """
     service = started(tmp_path)
     for name, port in (('i-1', 80), ('i-2', 81)):
         service.announce(announced(name, port=port))
     assert await service.flush()
-    begun, going_on = threading.Event(), threading.Event()
+    started_write, may_finish = threading.Event(), threading.Event()
     write = KeptFile.write
 
     def write_slowly(self, record):
-        begun.set()
-        going_on.wait(5)
+        started_write.set()
+        may_finish.wait(5)
         write(self, record)
 
     monkeypatch.setattr(KeptFile, 'write', write_slowly)
     service.withdraw('i-1')
     first = asyncio.create_task(service.flush())
-    await asyncio.to_thread(begun.wait, 5)
+    await asyncio.to_thread(started_write.wait, 5)
     service.withdraw('i-2')
     second = asyncio.create_task(service.flush())
     await asyncio.sleep(0)
-    going_on.set()
+    may_finish.set()
     assert await first
     assert await second
     assert started(tmp_path).upstreams.entries == {}
 
 
-async def test_what_is_kept_back_stays_so_after_the_dark(tmp_path):
-    """A request that three upstreams ended under ends three more."""
+async def test_quarantine_survives_a_loss_of_power(tmp_path):
+    """A request that crashed three upstreams must not crash three more."""
     before = started(tmp_path)
     before.announce(announced('i-1'))
     assert await before.flush()
@@ -188,7 +194,7 @@
         before.timer.advance(1)
         loss = Loss(f'i-{number}', before.timer.now(), 0.1)
         before.quarantine.record_loss(LostRequest(LETHAL, '', 5, loss))
-    await before.keeper.keep()
+    await before.persistence.write()
     after = started(tmp_path)
     assessment = after.quarantine.assessment(LETHAL)
     assert assessment.status is QuarantineStatus.quarantined
--- a/godwitshunt/registry/tests/test_prefixes.py
+++ b/godwitshunt/registry/tests/test_prefixes.py
@@ -1,8 +1,8 @@
-"""Entry VMs hear from control which upstream keeps which prompt parts."""
+"""How entry VMs learn which upstreams have which prompt prefixes cached."""
 
 from godwitshunt.registry.prefixes import (
     MAX_PREFIXES,
-    PREFIX_KEPT_S,
+    PREFIX_TTL_S,
     CachedPrefix,
     PrefixTable,
 )
@@ -13,12 +13,12 @@
 
 
 def holders(watch: RegistryWatch) -> frozenset[str]:
-    """Return who keeps the prefix, as an entry VM believes."""
+    """Return the upstreams that an entry VM assumes to hold the prefix."""
     return watch.prefixes.holders(KEY, watch.timer.now())
 
 
 async def started(*numbers: int) -> tuple[Deployment, list[RegistryWatch]]:
-    """Return a deployment whose entry VMs have asked every control VM."""
+    """Return a deployment whose entry VMs have polled every control VM."""
     deployment = Deployment()
     watches = [deployment.entry(number) for number in numbers]
     for watch in watches:
@@ -26,106 +26,106 @@
     return deployment, watches
 
 
-async def test_a_read_that_one_vm_saw_is_known_to_another():
-    """Two VMs get requests that share a long prompt.
+async def test_prefix_seen_by_one_vm_is_known_to_another():
+    """Two entry VMs receive requests that share a long prompt.
 
-    Without news of the first one's read, the second sends its request to an
-    upstream that reads the prompt again, and its callers wait for that.
+    Without the first one's report, the second would select an upstream that
+    has to process the prompt again, which delays its callers.
     """
-    deployment, (one, other) = await started(101, 102)
-    one.record_cached_prefix(KEY, 'i-1')
-    await deployment.poll(one)
-    await deployment.poll(other)
-    assert holders(other) == {'i-1'}
+    deployment, (first, second) = await started(101, 102)
+    first.record_cached_prefix(KEY, 'i-1')
+    await deployment.poll(first)
+    await deployment.poll(second)
+    assert holders(second) == {'i-1'}
 
 
-async def test_a_read_in_one_region_is_known_in_the_other():
-    """A prompt is kept in one region, and is asked for in another."""
+async def test_prefix_of_one_region_is_known_in_the_other():
+    """A prefix is cached in one region and requested in another."""
     deployment = Deployment()
-    one, other = deployment.entry(101, 'a'), deployment.entry(102, 'b')
-    for watch in (one, other):
+    first, second = deployment.entry(101, 'a'), deployment.entry(102, 'b')
+    for watch in (first, second):
         await deployment.poll_controls(watch)
-    one.record_cached_prefix(KEY, 'i-1')
-    await deployment.poll(one)
+    first.record_cached_prefix(KEY, 'i-1')
+    await deployment.poll(first)
     await deployment.exchange()
-    await deployment.poll(other)
-    assert holders(other) == {'i-1'}
+    await deployment.poll(second)
+    assert holders(second) == {'i-1'}
 
 
-async def test_a_read_is_asked_of_the_first_control_vm_alone():
-    """Every control VM hears of every read; asked of all, they cost bytes."""
-    deployment, (one, other) = await started(101, 102)
-    one.record_cached_prefix(KEY, 'i-1')
-    await deployment.poll(one)
+async def test_prefixes_are_requested_from_preferred_control_vm_only():
+    """Each control VM knows all prefixes; requesting all wastes bandwidth."""
+    deployment, (first, second) = await started(101, 102)
+    first.record_cached_prefix(KEY, 'i-1')
+    await deployment.poll(first)
     await deployment.exchange()
     now_s = deployment.timer.now()
-    far = other.make_poll(str(address(2)), now_s)
+    far = second.make_poll(str(address(2)), now_s)
     assert deployment.controls[2].reply(far).prefixes == []
-    near = other.make_poll(str(address(1)), now_s)
+    near = second.make_poll(str(address(1)), now_s)
     assert len(deployment.controls[1].reply(near).prefixes) == 1
-    await deployment.poll(other)
-    near = other.make_poll(str(address(1)), now_s)
+    await deployment.poll(second)
+    near = second.make_poll(str(address(1)), now_s)
     assert deployment.controls[1].reply(near).prefixes == []
 
 
-async def test_a_control_vm_that_started_anew_is_told_all_again():
-    """The first control VM restarts with an empty table.
+async def test_restarted_control_vm_receives_all_prefixes_again():
+    """The preferred control VM restarts with an empty table.
 
-    What it had been told before would be lost, and with it, for the VMs that
-    ask it, the places of all prompts.
+    Entry VMs must send all their prefixes again, or the entry VMs that poll it
+    would not know where prompts are cached.
     """
-    deployment, (one, other) = await started(101, 102)
-    one.record_cached_prefix(KEY, 'i-1')
-    await deployment.poll(one)
+    deployment, (first, second) = await started(101, 102)
+    first.record_cached_prefix(KEY, 'i-1')
+    await deployment.poll(first)
     deployment.restart(1)
-    await deployment.poll(one)
-    await deployment.poll(one)
-    await deployment.poll(other)
-    await deployment.poll(other)
-    assert holders(other) == {'i-1'}
-
-
-async def test_the_next_control_vm_tells_all_where_the_first_falls_silent():
-    """The first control VM dies; the next one is asked from then on."""
-    deployment, (one, other) = await started(101, 102)
-    one.record_cached_prefix(KEY, 'i-1')
-    await deployment.poll(one)
+    await deployment.poll(first)
+    await deployment.poll(first)
+    await deployment.poll(second)
+    await deployment.poll(second)
+    assert holders(second) == {'i-1'}
+
+
+async def test_next_control_vm_returns_all_prefixes_after_a_failure():
+    """The preferred control VM fails and the next one is polled instead."""
+    deployment, (first, second) = await started(101, 102)
+    first.record_cached_prefix(KEY, 'i-1')
+    await deployment.poll(first)
     await deployment.exchange()
     deployment.network.frozen.add(address(1))
     for _ in range(2):
         deployment.timer.advance(1.0)
-        await deployment.poll(other)
-    assert holders(other) == {'i-1'}
-
-
-async def test_a_read_ages_on_its_way_and_is_forgotten_everywhere():
-    """An engine drops what was not used for long; a belief must end, too."""
-    deployment, (one, other) = await started(101, 102)
-    one.record_cached_prefix(KEY, 'i-1')
-    await deployment.poll(one)
-    deployment.timer.advance(PREFIX_KEPT_S / 2)
-    await deployment.poll(one, 1)
-    await deployment.poll(other, 1)
-    await deployment.poll(other, 1)
-    assert holders(other) == {'i-1'}
-    deployment.timer.advance(PREFIX_KEPT_S / 2)
-    assert holders(other) == frozenset()
-    one.tick()
-    assert not one.own_prefixes.reads
-
-
-async def test_control_vms_do_not_keep_a_read_alive_by_telling_it():
-    """Two control VMs tell each other what they heard, again and again.
-
-    Each telling loses the time of its way from the age. A read that went back
-    and forth would never be forgotten, and prompts would be sent to engines
-    that dropped them long ago.
+        await deployment.poll(second)
+    assert holders(second) == {'i-1'}
+
+
+async def test_prefix_keeps_its_age_when_sent_and_expires_everywhere():
+    """Engines evict unused prefixes, so entries about them must expire too."""
+    deployment, (first, second) = await started(101, 102)
+    first.record_cached_prefix(KEY, 'i-1')
+    await deployment.poll(first)
+    deployment.timer.advance(PREFIX_TTL_S / 2)
+    await deployment.poll(first, 1)
+    await deployment.poll(second, 1)
+    await deployment.poll(second, 1)
+    assert holders(second) == {'i-1'}
+    deployment.timer.advance(PREFIX_TTL_S / 2)
+    assert holders(second) == frozenset()
+    first.tick()
+    assert not first.own_prefixes.prefixes
+
+
+async def test_prefix_does_not_stay_alive_between_control_vms():
+    """Two control VMs send each other their prefixes again and again.
+
+    Each transmission loses the network delay from the age. A prefix sent back
+    and forth would never expire, and requests would be sent to engines that
+    evicted it long ago.
     """
-    deployment, (one,) = await started(101)
-    one.record_cached_prefix(KEY, 'i-1')
-    await deployment.poll(one)
-    deployment.network.takes = lambda: deployment.timer.advance(0.055)
-    ends_s = deployment.timer.now() + 1.1 * PREFIX_KEPT_S
+    deployment, (watch,) = await started(101)
+    watch.record_cached_prefix(KEY, 'i-1')
+    await deployment.poll(watch)
+    deployment.network.delay = lambda: deployment.timer.advance(0.055)
+    ends_s = deployment.timer.now() + 1.1 * PREFIX_TTL_S
     while deployment.timer.now() < ends_s:
         await deployment.exchange()
         deployment.timer.advance(0.2)
@@ -134,19 +134,19 @@
         assert control.prefixes.holders(KEY, now_s) == frozenset()
 
 
-def test_a_late_old_read_changes_nothing():
-    """Reads overtake one another between VMs."""
+def test_late_report_of_an_older_use_changes_nothing():
+    """Reports from several VMs may arrive out of order."""
     table = PrefixTable()
-    table.record(CachedPrefix(KEY, 'i-1', read_s=5.0))
-    table.record(CachedPrefix(KEY, 'i-1', read_s=4.0))
+    table.record(CachedPrefix(KEY, 'i-1', cached_s=5.0))
+    table.record(CachedPrefix(KEY, 'i-1', cached_s=4.0))
     assert table.version == 1
-    assert table.since(0) == (CachedPrefix(KEY, 'i-1', read_s=5.0),)
+    assert table.since(0) == (CachedPrefix(KEY, 'i-1', cached_s=5.0),)
 
 
-def test_a_table_is_bounded():
-    """Prompts that are never shared would else fill a VM's memory."""
+def test_table_size_is_bounded():
+    """Prompts that are never requested again must not fill a VM's memory."""
     table = PrefixTable()
     for key in range(MAX_PREFIXES + 10):
-        table.record(CachedPrefix(key, 'i-1', read_s=float(key)))
-    assert len(table.reads) == len(table.by_key) == MAX_PREFIXES
+        table.record(CachedPrefix(key, 'i-1', cached_s=float(key)))
+    assert len(table.prefixes) == len(table.by_key) == MAX_PREFIXES
     assert table.holders(0, now_s=0.0) == frozenset()
--- a/godwitshunt/registry/tests/test_quarantine_api.py
+++ b/godwitshunt/registry/tests/test_quarantine_api.py
@@ -1,4 +1,4 @@
-"""An operator looks at what is kept back, and lets it go."""
+"""Operators list quarantined requests and release them."""
 
 import json
 
@@ -19,20 +19,20 @@
 
 @pytest.fixture
 async def deployment():
-    """Return a deployment in which a request is kept back."""
-    made = Deployment({1: 'a', 2: 'b'})
+    """Return a deployment in which a request is quarantined."""
+    deployment = Deployment({1: 'a', 2: 'b'})
     for number in range(3):
-        made.timer.advance(1)
-        loss = Loss(f'i-{number}', made.timer.now(), 0.1)
+        deployment.timer.advance(1)
+        loss = Loss(f'i-{number}', deployment.timer.now(), 0.1)
         lost = LostRequest(LETHAL, '', 5, loss)
-        made.controls[1].quarantine.record_loss(lost)
-    await made.exchange()
-    made.timer.advance(1)
-    return made
+        deployment.controls[1].quarantine.record_loss(lost)
+    await deployment.exchange()
+    deployment.timer.advance(1)
+    return deployment
 
 
 def api(deployment, number=2):
-    """Return the routes of a control VM."""
+    """Return the quarantine API of a control VM."""
     return QuarantineApi(deployment.controls[number].quarantine)
 
 
@@ -42,37 +42,37 @@
     return OperatorRequest(method, path, '', body)
 
 
-async def test_operator_sees_what_is_kept_back_and_why(deployment):
-    """A caller asks why its request is refused, and nobody can tell."""
-    came = await api(deployment).show(request('GET', '/v1/quarantine'))
-    told = json.loads(came.body)['requests'][0]
-    assert told['fingerprint'] == str(LETHAL)
-    assert told['standing'] == 'quarantined'
-    assert len(told['losses']) == 3
+async def test_quarantined_requests_are_listed_with_their_losses(deployment):
+    """Operators must be able to explain a caller why a request is rejected."""
+    answer = await api(deployment).show(request('GET', '/v1/quarantine'))
+    listed = json.loads(answer.body)['requests'][0]
+    assert listed['fingerprint'] == str(LETHAL)
+    assert listed['standing'] == 'quarantined'
+    assert len(listed['losses']) == 3
 
 
-async def test_released_request_is_sent_again_by_all(deployment):
-    """The service was mended, and its callers go on being refused."""
+async def test_released_request_is_released_on_all_vms(deployment):
+    """After the service is fixed, no VM may go on rejecting the request."""
     watch = deployment.entry(11, 'a')
     await deployment.poll_controls(watch)
     assessment = watch.quarantine.assessment(LETHAL)
     assert assessment.status is QuarantineStatus.quarantined
-    asked = {'fingerprint': str(LETHAL)}
+    document = {'fingerprint': str(LETHAL)}
     path = '/v1/quarantine/release'
-    came = await api(deployment).release(request('POST', path, asked))
-    assert came.status == 200
+    answer = await api(deployment).release(request('POST', path, document))
+    assert answer.status == 200
     await deployment.exchange()
     await deployment.poll(watch, 1)
     assert watch.quarantine.assessment(LETHAL).status is QuarantineStatus.clear
-    again = await api(deployment).release(request('POST', path, asked))
+    again = await api(deployment).release(request('POST', path, document))
     assert again.status == 404
 
 
-@pytest.mark.parametrize('asked', [{}, {'fingerprint': 'x'}, {'other': 1}])
-async def test_malformed_release_is_refused(deployment, asked):
-    """An operator's tool sends something else."""
+@pytest.mark.parametrize('document', [{}, {'fingerprint': 'x'}, {'other': 1}])
+async def test_malformed_release_is_rejected(deployment, document):
+    """A document without a valid fingerprint releases nothing."""
     path = '/v1/quarantine/release'
-    came = await api(deployment).release(request('POST', path, asked))
-    assert came.status == 400
+    answer = await api(deployment).release(request('POST', path, document))
+    assert answer.status == 400
     status = deployment.controls[1].quarantine.assessment(LETHAL).status
     assert status is QuarantineStatus.quarantined
--- a/godwitshunt/registry/tests/test_suspects.py
+++ b/godwitshunt/registry/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""How what requests did to upstreams becomes known to all VMs."""
+"""How requests lost to upstreams become known to all VMs."""
 
 import pytest
 
@@ -16,24 +16,24 @@
 
 @pytest.fixture
 async def deployment():
-    """Return two regions with a control VM and an entry VM each."""
+    """Return two regions with a control VM each."""
     return Deployment({1: 'a', 2: 'b'})
 
 
-def lose(watch, place, fingerprint=LETHAL):
-    """Let an upstream have ended under a request, each at another second."""
-    at_s = watch.timer.now() - 10 + int(place[-1])
-    loss = Loss(place, at_s, 0.1)
+def record_loss(watch, upstream, fingerprint=LETHAL):
+    """Record a request lost to an upstream, to each at another second."""
+    at_s = watch.timer.now() - 10 + int(upstream[-1])
+    loss = Loss(upstream, at_s, 0.1)
     watch.quarantine.record_loss(LostRequest(fingerprint, '', 5, loss))
 
 
 def status(watch):
-    """Return what an entry VM holds against the lethal request."""
+    """Return the standing of the lethal request at an entry VM."""
     return watch.quarantine.assessment(LETHAL).status
 
 
 async def spread(deployment, *watches):
-    """Let each VM tell what it has seen, and hear what is known."""
+    """Let each VM report its losses and receive the others'."""
     for watch in watches:
         await deployment.poll(watch)
     await deployment.exchange()
@@ -42,8 +42,8 @@
         await deployment.poll(watch)
 
 
-async def test_ends_seen_by_several_vms_are_counted_together(deployment):
-    """One end seen in each region, and one by a third VM."""
+async def test_losses_at_several_vms_are_counted_together(deployment):
+    """One loss in each region and one at a third VM."""
     watches = [
         deployment.entry(11, 'a'),
         deployment.entry(12, 'b'),
@@ -51,30 +51,32 @@
     ]
     for number, watch in enumerate(watches):
         await deployment.poll_controls(watch)
-        lose(watch, f'i-{number}')
+        record_loss(watch, f'i-{number}')
     deployment.timer.advance(1)
     await spread(deployment, *watches)
-    assert {status(one) for one in watches} == {QuarantineStatus.quarantined}
+    assert {status(entry) for entry in watches} == {
+        QuarantineStatus.quarantined
+    }
 
 
-async def test_vm_that_starts_anew_hears_of_what_is_kept_back(deployment):
-    """A repeat that comes to an entry VM that has just started."""
+async def test_restarted_entry_vm_learns_of_quarantined_requests(deployment):
+    """A quarantined request is repeated to an entry VM that just started."""
     watch = deployment.entry(11, 'a')
     await deployment.poll_controls(watch)
     for number in range(3):
-        lose(watch, f'i-{number}')
+        record_loss(watch, f'i-{number}')
     await spread(deployment, watch)
-    young = deployment.entry(12, 'b')
-    await deployment.poll_controls(young)
-    assert status(young) is QuarantineStatus.quarantined
+    new_entry = deployment.entry(12, 'b')
+    await deployment.poll_controls(new_entry)
+    assert status(new_entry) is QuarantineStatus.quarantined
 
 
-async def test_control_vm_that_starts_anew_is_told_again(deployment):
-    """All that was known, lost with the control VM's process."""
+async def test_restarted_control_vm_receives_losses_again(deployment):
+    """All losses were lost with the control VMs' processes."""
     watch = deployment.entry(11, 'a')
     await deployment.poll_controls(watch)
     for number in range(3):
-        lose(watch, f'i-{number}')
+        record_loss(watch, f'i-{number}')
     await spread(deployment, watch)
     for number in (1, 2):
         deployment.restart(number)
@@ -82,21 +84,21 @@
     for _ in range(3):
         await deployment.poll(watch, 1)
         deployment.timer.advance(1)
-    young = deployment.entry(12, 'a')
-    await deployment.poll_controls(young)
-    assert status(young) is QuarantineStatus.quarantined
+    new_entry = deployment.entry(12, 'a')
+    await deployment.poll_controls(new_entry)
+    assert status(new_entry) is QuarantineStatus.quarantined
 
 
-async def test_each_side_of_a_cut_knows_what_it_saw(deployment):
-    """Two regions that don't hear each other, then do."""
+async def test_partitioned_regions_exchange_losses_after_healing(deployment):
+    """During a partition each region knows only its own losses."""
     north, south = deployment.entry(11, 'a'), deployment.entry(12, 'b')
     for watch in (north, south):
         await deployment.poll_controls(watch)
-    for one, other in ((1, 2), (11, 2), (12, 1)):
-        deployment.network.split(address(one), address(other))
+    for first, second in ((1, 2), (11, 2), (12, 1)):
+        deployment.network.split(address(first), address(second))
     for number in range(3):
-        lose(north, f'i-{number}')
-    lose(south, 'j-1')
+        record_loss(north, f'i-{number}')
+    record_loss(south, 'j-1')
     deployment.timer.advance(1)
     await spread(deployment, north, south)
     assert status(north) is QuarantineStatus.quarantined
@@ -107,29 +109,29 @@
     assert status(south) is QuarantineStatus.quarantined
 
 
-async def test_whole_answer_seen_by_one_vm_clears_for_all(deployment):
-    """A popular request, kept back by VMs that saw no answer to it."""
+async def test_complete_answer_at_one_vm_clears_the_request_for_all(deployment):
+    """VMs that saw no answer must not quarantine a request that succeeds."""
     north, south = deployment.entry(11, 'a'), deployment.entry(12, 'b')
     for watch in (north, south):
         await deployment.poll_controls(watch)
-    lose(north, 'i-1')
-    lose(north, 'i-2')
+    record_loss(north, 'i-1')
+    record_loss(north, 'i-2')
     deployment.timer.advance(1)
     await spread(deployment, north, south)
     assert status(south) is QuarantineStatus.suspected
     deployment.timer.advance(1)
     south.quarantine.clear(LETHAL)
     await spread(deployment, north, south)
-    lose(north, 'i-3')
+    record_loss(north, 'i-3')
     assert status(north) is QuarantineStatus.clear
 
 
-async def test_entry_vms_hear_nothing_of_what_was_lost_once(deployment):
-    """An end of an engine that costs bytes at each of many VMs."""
+async def test_single_losses_are_not_sent_to_entry_vms(deployment):
+    """A crash of an engine loses many requests once; sending all is costly."""
     watch = deployment.entry(11, 'a')
     await deployment.poll_controls(watch)
     for number in range(48):
-        lose(watch, 'i-1', Fingerprint(number.to_bytes(16, 'big')))
+        record_loss(watch, 'i-1', Fingerprint(number.to_bytes(16, 'big')))
     await spread(deployment, watch)
     other = deployment.entry(12, 'a')
     await deployment.poll_controls(other)
@@ -138,8 +140,8 @@
     assert len(control.quarantine.table.records) == 48
 
 
-async def test_in_calm_polls_and_replies_carry_nothing_of_it(deployment):
-    """Bytes between regions for what never happened."""
+async def test_polls_without_losses_carry_no_suspects(deployment):
+    """Without losses the feature must add hardly any bytes to polls."""
     watch = deployment.entry(11, 'a')
     await deployment.poll_controls(watch)
     now_s = deployment.timer.now()
@@ -152,20 +154,20 @@
     assert before - len(encode(reply)) <= 8
 
 
-async def test_lower_versions_of_a_process_that_started_anew_are_heard(
+async def test_lower_versions_of_a_restarted_process_are_received(
     deployment,
 ):
-    """A VM that asks the new process for what came after the old one's news."""
+    """An entry VM holds a higher version of the previous process."""
     watch, other = deployment.entry(11, 'a'), deployment.entry(12, 'b')
-    for one in (watch, other):
-        await deployment.poll_controls(one)
+    for polling in (watch, other):
+        await deployment.poll_controls(polling)
     for number in range(50):
-        lose(watch, 'i-9', Fingerprint(number.to_bytes(16, 'little')))
+        record_loss(watch, 'i-9', Fingerprint(number.to_bytes(16, 'little')))
     await spread(deployment, watch)
     for number in (1, 2):
         deployment.restart(number)
     for number in range(3):
-        lose(other, f'i-{number}', Fingerprint(bytes(range(16))))
+        record_loss(other, f'i-{number}', Fingerprint(bytes(range(16))))
     await spread(deployment, other)
     for _ in range(3):
         await deployment.poll(watch, 1)
@@ -173,12 +175,12 @@
     assert assessment.status is QuarantineStatus.quarantined
 
 
-async def test_control_vm_that_is_asked_first_later_is_told_all(deployment):
-    """Losses that were held to be told, to one that was asked for a table."""
+async def test_new_preferred_control_vm_receives_all_losses(deployment):
+    """A poll for its table alone must not count as a report of losses."""
     watch = deployment.entry(11, 'a')
     await deployment.poll_controls(watch)
     for number in range(3):
-        lose(watch, f'i-{number}')
+        record_loss(watch, f'i-{number}')
     await deployment.poll(watch, 2)
     deployment.network.split(address(11), address(1))
     deployment.network.split(address(1), address(2))
--- a/godwitshunt/registry/tests/test_table.py
+++ b/godwitshunt/registry/tests/test_table.py
@@ -1,11 +1,11 @@
-"""What a control VM believes of upstreams, in virtual time."""
+"""The table of upstreams of a control VM, in virtual time."""
 
 import pytest
 
+from godwitshunt.registry.incarnations import TOMBSTONE_TTL_S, EndedIncarnation
 from godwitshunt.registry.records import UpstreamAnnounced
-from godwitshunt.registry.starts import TOMBSTONE_S, EndedStart
 from godwitshunt.registry.table import (
-    FORGOTTEN_AFTER_S,
+    EXPIRED_AFTER_S,
     SILENT_AFTER_S,
     Stale,
     Taken,
@@ -30,9 +30,9 @@
 
 
 def test_late_announcement_changes_nothing():
-    """An announcement that a slow link held back arrives after newer ones.
+    """An announcement delayed by a slow link arrives after newer ones.
 
-    Taken for the newest, it would bring an upstream that drains back to work.
+    Applied as the newest, it would make a draining upstream ready again.
     """
     table = UpstreamTable()
     table.announce(announced(sequence=1), 0)
@@ -41,7 +41,7 @@
     assert table.entries['i-1'].announcement.draining
 
 
-def test_draining_is_for_good():
+def test_draining_is_final():
     """A newer announcement of a draining upstream says *ready* by mistake."""
     table = UpstreamTable()
     table.announce(announced(sequence=1, draining=True), 0)
@@ -49,63 +49,63 @@
     assert table.entries['i-1'].announcement.draining
 
 
-def test_departed_incarnation_never_comes_back():
-    """A heartbeat was under way when its upstream said good-bye."""
+def test_withdrawn_incarnation_does_not_return():
+    """An announcement was in transit when its upstream withdrew."""
     table = UpstreamTable()
     table.announce(announced(sequence=1), 0)
     table.withdraw('i-1', 1)
     assert table.announce(announced(sequence=2), 2) == Stale()
-    assert table.gone_since(0) == (EndedStart('i-1'),)
-    table.tick(1 + TOMBSTONE_S + 1)
-    assert table.gone == {}
+    assert table.ended_since(0) == (EndedIncarnation('i-1'),)
+    table.tick(1 + TOMBSTONE_TTL_S + 1)
+    assert table.tombstones == {}
 
 
-def test_withdrawal_before_the_first_announcement_counts():
-    """The good-bye overtakes the only announcement that came here."""
+def test_withdrawal_before_the_first_announcement_is_applied():
+    """The withdrawal overtakes the only announcement sent here."""
     table = UpstreamTable()
     table.withdraw('i-1', 0)
     assert table.announce(announced(), 1) == Stale()
 
 
-@pytest.mark.parametrize(('pause_s', 'gone'), [(3.0, True), (1.0, False)])
-def test_address_goes_to_another_incarnation(pause_s, gone):
-    """An upstream crashes, and its address is given to another service's.
+@pytest.mark.parametrize(('pause_s', 'ended'), [(3.0, True), (1.0, False)])
+def test_address_is_reused_by_another_upstream(pause_s, ended):
+    """An upstream crashes and one of another service gets its address.
 
-    The one before is dropped where it has fallen silent; where it was heard
-    just now, the late announcement of a dead one may be what came.
+    The previous one is ended if its announcements have stopped; if not, the
+    new announcement may be a late one of an upstream that has ended.
     """
     table = UpstreamTable()
     table.announce(announced('i-1'), 0)
     table.announce(announced('i-2', service='other'), pause_s)
-    assert ('i-1' in table.gone) is gone
+    assert ('i-1' in table.tombstones) is ended
     assert 'i-2' in table.entries
 
 
-def test_silence_is_news_and_so_is_its_end():
-    """An upstream is cut off from control for a while."""
+def test_becoming_silent_and_returning_are_changes():
+    """An upstream cannot reach the control VM for a while."""
     table = UpstreamTable()
     table.announce(announced(sequence=1), 0)
     known = table.version
     table.tick(SILENT_AFTER_S + 0.1)
     silent = table.changed_since(known)
-    assert [one.silent for one in silent] == [True]
+    assert [entry.silent for entry in silent] == [True]
     known = table.version
     assert table.announce(announced(sequence=2), 6) == Taken()
     back = table.changed_since(known)
-    assert [one.silent for one in back] == [False]
+    assert [entry.silent for entry in back] == [False]
 
 
-def test_long_silence_ends_an_incarnation():
-    """An upstream crashed and sends nothing any more."""
+def test_incarnation_expires_without_announcements():
+    """A crashed upstream sends no more announcements."""
     table = UpstreamTable()
     table.announce(announced(), 0)
-    table.tick(FORGOTTEN_AFTER_S + 1)
+    table.tick(EXPIRED_AFTER_S + 1)
     assert table.entries == {}
-    assert 'i-1' in table.gone
+    assert 'i-1' in table.tombstones
 
 
-def test_repeated_announcements_are_no_news():
-    """Each would else be sent to every entry VM, a few times a second."""
+def test_repeated_announcements_are_no_change():
+    """Otherwise each would be sent to every entry VM."""
     table = UpstreamTable()
     table.announce(announced(sequence=1, cold_s=3.0), 0)
     known = table.version
@@ -114,8 +114,8 @@
     assert table.changed_since(known) == ()
 
 
-def test_becoming_cold_again_is_news():
-    """A zone was evacuated and comes back with cold upstreams."""
+def test_becoming_cold_again_is_a_change():
+    """A zone was evacuated and returns with cold upstreams."""
     table = UpstreamTable()
     table.announce(announced(sequence=1), 0)
     known = table.version
--- a/godwitshunt/registry/tests/test_news_schedules.py
+++ b/godwitshunt/registry/tests/test_update_schedules.py
@@ -1,9 +1,9 @@
-"""News of upstreams under any cuts, freezes and restarts of control VMs.
+"""Updates of upstreams under partitions, freezes and restarts of control VMs.
 
-Control VMs tell each other their tables and entry VMs ask one for all of them.
-Whatever is cut between whom, an entry VM that reaches a control VM both ways
-must soon know what that one acknowledged: an upstream that leaves exits 3 s
-after its acknowledgement, and what it still gets then is lost.
+Control VMs exchange their tables and entry VMs poll one for all of them. In
+any partition, an entry VM that reaches a control VM in both directions must
+soon know what that control VM acknowledged: an upstream exits 3 s after its
+departure is acknowledged, and requests that it receives then are lost.
 """
 
 import asyncio
@@ -27,13 +27,12 @@
 CONTROLS = (1, 2, 3)
 ENTRIES = (101, 102, 103)
 VMS = CONTROLS + ENTRIES
-# The bound that is stated where the age is set, with the time to the next look
-# and the way there.
+# The bound on a table's age, the interval of checks and the network delay.
 KNOWN_WITHIN_S = STALE_AFTER_S + POLL_PERIOD_S + 0.1
 
 
-class News(RuleBasedStateMachine):
-    """Three control VMs, three entry VMs, and what may happen to them."""
+class UpdateSchedules(RuleBasedStateMachine):
+    """Three control VMs and three entry VMs with random faults."""
 
     @initialize()
     def start(self):
@@ -46,112 +45,119 @@
         }
         self.sequence = 0
         self.live: set[str] = set()
-        # When each control VM acknowledged that an upstream leaves.
+        # When each control VM acknowledged the departure of an upstream.
         self.acknowledged: dict[tuple[str, int], float] = {}
         self.reached_since: dict[tuple[int, int], float] = {}
         self.versions: dict[tuple[int, str], tuple[str, int]] = {}
-        self.pass_time(0.3)
+        self.advance(0.3)
 
     def teardown(self):
-        """Close what was opened."""
+        """Close the event loop."""
         if hasattr(self, 'loop'):
             self.loop.close()
 
     @property
     def now_s(self):
-        """The time that has passed."""
+        """The current time, in seconds."""
         return self.deployment.timer.now()
 
     @rule(name=st.sampled_from('xyz'), control=st.sampled_from(CONTROLS))
     def announce(self, name, control):
-        """Let an upstream announce itself to one control VM."""
+        """Announce an upstream to one control VM."""
         if (name, control) in self.acknowledged:
             return
         self.sequence += 1
-        told = announced(name, self.sequence, port=80 + ord(name))
-        self.deployment.controls[control].announce(told)
+        announcement = announced(name, self.sequence, port=80 + ord(name))
+        self.deployment.controls[control].announce(announcement)
         self.live.add(name)
 
     @precondition(lambda machine: machine.live)
     @rule(
         control=st.sampled_from(CONTROLS),
-        says_good_bye=st.booleans(),
+        withdraws=st.booleans(),
         data=st.data(),
     )
-    def leave(self, control, says_good_bye, data):
-        """Let an upstream leave; it says so to one control VM."""
+    def leave(self, control, withdraws, data):
+        """Let an upstream withdraw from or drain at one control VM."""
         name = data.draw(st.sampled_from(sorted(self.live)))
         service = self.deployment.controls[control]
         self.sequence += 1
-        if says_good_bye:
+        if withdraws:
             service.withdraw(name)
         else:
             port = 80 + ord(name)
-            told = announced(name, self.sequence, port=port, draining=True)
-            service.announce(told)
+            announcement = announced(
+                name,
+                self.sequence,
+                port=port,
+                draining=True,
+            )
+            service.announce(announcement)
         self.live.discard(name)
         self.acknowledged.setdefault((name, control), self.now_s)
 
     @rule(pair=st.sampled_from(tuple(combinations(VMS, 2))), both=st.booleans())
     def cut_pair(self, pair, both):
-        """Let nothing pass between two VMs, or only one way."""
+        """Cut the connection of two VMs in one or both directions."""
         self.cut(pair, both)
 
     def cut(self, pair, both):
-        """Cut two VMs off from one another, or the first from the second."""
-        one, other = map(address, pair)
-        self.deployment.network.cut.add((one, other))
+        """Lose messages from the first VM to the second, or in both ways."""
+        sender, receiver = map(address, pair)
+        self.deployment.network.cut.add((sender, receiver))
         if both:
-            self.deployment.network.cut.add((other, one))
-        self.note_reach()
+            self.deployment.network.cut.add((receiver, sender))
+        self.record_reach()
 
     @rule(number=st.sampled_from(CONTROLS), one_way=st.booleans())
     def split_control(self, number, one_way):
-        """Cut a control VM off from the others, not from entry VMs."""
+        """Cut a control VM off from the other control VMs only."""
         for other in CONTROLS:
             if other != number:
                 self.cut((number, other), not one_way)
 
     @rule(number=st.sampled_from(CONTROLS))
     def freeze(self, number):
-        """Let a control VM stand still."""
+        """Freeze a control VM."""
         self.deployment.network.frozen.add(address(number))
-        self.note_reach()
+        self.record_reach()
 
     @rule()
     def heal(self):
-        """Let everything pass again."""
+        """Remove all faults."""
         self.deployment.network.heal()
-        self.note_reach()
+        self.record_reach()
 
     @rule(number=st.sampled_from(CONTROLS))
     def restart(self, number):
-        """Let a control VM's process start anew; its disk keeps its table."""
+        """Restart a control VM's process, with its table from disk."""
         before = self.deployment.controls[number]
         service = self.deployment.restart(number)
-        ends = before.upstreams.gone_since(0)
-        kept = [one.announcement for one in before.upstreams.entries.values()]
-        service.upstreams.restore(kept, ends, self.now_s)
+        ends = before.upstreams.ended_since(0)
+        stored = [
+            entry.announcement for entry in before.upstreams.entries.values()
+        ]
+        service.upstreams.restore(stored, ends, self.now_s)
 
     @rule(seconds=st.floats(0.1, 3.0))
     def wait(self, seconds):
-        """Let time pass."""
-        self.pass_time(seconds)
+        """Advance the time."""
+        self.advance(seconds)
 
-    def pass_time(self, seconds):
-        """Let VMs ask as they do by themselves."""
-        self.note_reach()
+    def advance(self, seconds):
+        """Advance the time while all VMs poll."""
+        self.record_reach()
         ends_s = self.now_s + seconds
         while self.now_s < ends_s:
             self.deployment.timer.advance(POLL_PERIOD_S)
             self.run(self.deployment.exchange())
             for watch in self.watches.values():
-                self.run(self.ask_due(watch))
+                self.run(self.poll_due(watch))
 
-    async def ask_due(self, watch):
-        """Let an entry VM ask the control VMs that it asks by itself."""
-        due = watch.contacts.to_ask(
-            watch.known_control(),
+    async def poll_due(self, watch):
+        """Let an entry VM poll the control VMs that are due."""
+        due = watch.contacts.due(
+            watch.known_controls(),
             self.now_s,
             watch.period_s(),
         )
@@ -159,27 +165,27 @@
             if str(control) in due:
                 await watch.poll(control)
 
-    def run(self, work):
+    def run(self, coroutine):
         """Run a coroutine."""
-        self.loop.run_until_complete(work)
+        self.loop.run_until_complete(coroutine)
 
-    def note_reach(self):
-        """Note since when each entry VM reaches each control VM."""
+    def record_reach(self):
+        """Record since when each entry VM reaches each control VM."""
         network = self.deployment.network
         for entry in ENTRIES:
             for control in CONTROLS:
-                there, back = address(entry), address(control)
-                reaches = network.passes(there, back) and network.passes(
-                    back, there
-                )
+                entry_at, control_at = address(entry), address(control)
+                reaches = network.delivers(
+                    entry_at, control_at
+                ) and network.delivers(control_at, entry_at)
                 if reaches:
                     self.reached_since.setdefault((entry, control), self.now_s)
                 else:
                     self.reached_since.pop((entry, control), None)
 
     @invariant()
-    def a_leaving_is_known_in_time(self):
-        """Check that an acknowledged leaving is known to all who reach."""
+    def departures_are_known_in_time(self):
+        """Check that entry VMs know what reachable VMs acknowledged."""
         if not hasattr(self, 'acknowledged'):
             return
         for (name, control), left_s in self.acknowledged.items():
@@ -193,8 +199,8 @@
                 assert seen is None or seen.announcement.draining, (name, entry)
 
     @invariant()
-    def no_table_goes_back(self):
-        """Check that a version of one process never falls."""
+    def table_versions_never_fall(self):
+        """Check that the table version of a process never falls."""
         if not hasattr(self, 'versions'):
             return
         for entry, watch in self.watches.items():
@@ -205,8 +211,8 @@
                 self.versions[entry, control] = (table.source, table.version)
 
 
-TestNews = News.TestCase
-TestNews.settings = settings(
+TestUpdateSchedules = UpdateSchedules.TestCase
+TestUpdateSchedules.settings = settings(
     max_examples=100,
     stateful_step_count=40,
     deadline=None,
--- a/godwitshunt/registry/kept_upstreams.py
+++ b/godwitshunt/registry/upstream_file.py
@@ -1,7 +1,8 @@
-"""What a control VM last knew of upstreams, on its disk.
+"""The file in which a control VM stores its table of upstreams.
 
-After all machines were dark upstreams announce themselves again one by one,
-for a second and more; callers are better served by those that were there.
+After an outage of all machines upstreams announce themselves again one by one
+over a second or more. Until then the stored upstreams are better candidates
+than none.
 """
 
 from dataclasses import dataclass
@@ -30,14 +31,14 @@
 
 
 @dataclass(frozen=True)
-class KeptUpstreams:
-    """One file that always holds one whole table of upstreams."""
+class UpstreamFile:
+    """One file that always contains one complete table of upstreams."""
 
     folder: Path
 
     @property
-    def file(self) -> KeptFile:
-        """Where the table is kept."""
+    def storage(self) -> KeptFile:
+        """The file on disk."""
         return KeptFile(self.folder / FILE_NAME, MAGIC)
 
     def restore(
@@ -46,21 +47,23 @@
         suspects: SuspectTable,
         now_s: float,
     ) -> bool:
-        """Put what was kept into empty tables; False where there is none.
+        """Load the stored tables into empty ones; False if there are none.
 
         Raises
         ------
         StorageError
-            Where the folder exists but cannot be read.
+            If the folder exists but cannot be read.
         """
-        kept = self.file.read()
-        if kept is None:
+        stored = self.storage.read()
+        if stored is None:
             return False
         try:
-            told = decode(ttypes.KeptUpstreams, kept.body)
-            upstreams = [upstream_from_wire(one) for one in told.upstreams]
-            ends = ends_from_wire(told.gone)
-            lost = suspects_from_wire(told.suspects, now_s)
+            message = decode(ttypes.KeptUpstreams, stored.body)
+            upstreams = [
+                upstream_from_wire(upstream) for upstream in message.upstreams
+            ]
+            ends = ends_from_wire(message.gone)
+            lost = suspects_from_wire(message.suspects, now_s)
         except (FrameError, TypeError) as fault:
             log_change('registry:kept_unreadable', fault=repr(fault))
             return False
@@ -74,16 +77,17 @@
         suspects: SuspectTable,
         now_s: float,
     ) -> KeptRecord:
-        """Return tables as they are kept.
+        """Return the record to store.
 
-        Of lost requests only those are kept that are suspected.
+        Of the lost requests only suspected ones are stored.
         """
         lost = suspects.since(0, SUSPECTED_CRASHES)
         body = ttypes.KeptUpstreams(
             upstreams=[
-                upstream_to_wire(one, now_s) for one in table.entries.values()
+                upstream_to_wire(entry, now_s)
+                for entry in table.entries.values()
             ],
-            gone=ends_to_wire(table.gone_since(0)),
+            gone=ends_to_wire(table.ended_since(0)),
             suspects=suspects_to_wire(lost, now_s),
         )
         return KeptRecord(table.version, encode(body))
