--- a/godwitshunt/registry/views.py
+++ b/godwitshunt/registry/views.py
@@ -1,19 +1,19 @@
-"""What an entry VM hears of control VMs, and what it makes of that; pure."""
+"""A control VM's table as another VM holds it, and the merged view."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
 from godwitshunt.registry.gen.wire import ttypes
+from godwitshunt.registry.incarnations import TOMBSTONE_TTL_S, EndedIncarnation
 from godwitshunt.registry.records import (
     EntryRecord,
     Load,
     UpstreamAnnounced,
     incarnation_name,
 )
-from godwitshunt.registry.starts import TOMBSTONE_S, EndedStart
-from godwitshunt.registry.table import GoneStart
+from godwitshunt.registry.table import Tombstone
 from godwitshunt.registry.wire import (
-    address_of,
+    address_from_wire,
     admitted_from_wire,
     ends_from_wire,
     entry_from_wire,
@@ -22,20 +22,20 @@
 )
 from godwitshunt.settings import Address
 
-# A control VM that has not answered for so long says nothing about who is
-# alive; what it said of those who leave still holds.
+# The table of a control VM that has not answered for this long is no longer
+# evidence of which upstreams are alive; their departures remain valid.
 FRESH_S = 3.0
 NEVER_S = float('-inf')
 
 
 @dataclass
-class HeardUpstream:
-    """One incarnation as one control VM tells of it.
+class ReportedUpstream:
+    """One incarnation as one control VM reports it.
 
     Parameters
     ----------
     version : int
-        Of the control VM's table, when this was told.
+        Version of the control VM's table that it was received with.
     """
 
     announcement: UpstreamAnnounced
@@ -46,8 +46,14 @@
 
 
 @dataclass
-class HeardEntry:
-    """An entry VM as one control VM tells of it; None for one that left."""
+class ReportedEntry:
+    """An entry VM as one control VM reports it.
+
+    Parameters
+    ----------
+    record : EntryRecord or None
+        None if the entry VM has departed.
+    """
 
     record: EntryRecord | None
     version: int
@@ -55,41 +61,41 @@
 
 @dataclass
 class ControlTable:
-    """The table of one control VM, as it told it or another one did.
+    """The table of one control VM, received from it or from a relay.
 
-    Each part keeps the version of the news that it came with. That is never
-    lower than the version in which it changed; so whoever asks for what is
-    newer than a version is told of it, perhaps once more than needed.
+    Each part keeps the version of the update that it was received with. That
+    is never lower than the version in which it changed; so a process that
+    requests changes after a version receives it, perhaps more than once.
 
     Parameters
     ----------
     source : str
-        The control VM's process; empty before the first news.
+        Process of the control VM; empty before the first update.
     control : Address or None
-        Where peers reach it.
+        Peer address of the control VM.
     region : str
-        Where it stands.
+        Its region.
     version, entries_version : int
-        What to ask changes after.
-    answered_s : float
-        The table is at least as new as this: when the poll that brought it
-        was *sent*, less the age that the teller gave it.
+        Versions to request changes after.
+    asof_s : float
+        The table is at least as recent as this: the time at which the poll
+        for it was *sent*, less the age that the sender stated.
     upstreams : dict
-        The start of each upstream that it tells of, by the upstream's name.
-    gone : dict
-        Starts that it told the end of, by incarnation.
-    ended : dict
-        When the newest start that it told the end of was born, by the
-        upstream's name; None where it does not know.
+        Reported incarnation of each upstream, by instance name.
+    tombstones : dict
+        Ended incarnations, by name.
+    ended_born_ms : dict
+        Start time of the newest ended incarnation, by instance name; None if
+        unknown.
     entries : dict
-        Entry VMs by name, those that left among them.
+        Entry VMs by name, departed ones included.
     loads : mapping
-        Requests of the entry VMs that report to it.
+        Load of upstreams by the entry VMs that report to the control VM.
     loads_asof_s : float
-        These are at least as new as this.
+        The loads are at least as recent as this.
     admitted : mapping
-        What its picker has admitted since its process started, by
-        organisation; told with the requests.
+        Units that its picker has admitted since its process started, by
+        organisation; received with the loads.
     """
 
     source: str = ''
@@ -97,125 +103,125 @@
     region: str = ''
     version: int = 0
     entries_version: int = 0
-    answered_s: float = NEVER_S
-    upstreams: dict[str, HeardUpstream] = field(default_factory=dict)
-    gone: dict[str, GoneStart] = field(default_factory=dict)
-    ended: dict[str, int | None] = field(default_factory=dict)
-    entries: dict[str, HeardEntry] = field(default_factory=dict)
+    asof_s: float = NEVER_S
+    upstreams: dict[str, ReportedUpstream] = field(default_factory=dict)
+    tombstones: dict[str, Tombstone] = field(default_factory=dict)
+    ended_born_ms: dict[str, int | None] = field(default_factory=dict)
+    entries: dict[str, ReportedEntry] = field(default_factory=dict)
     loads: Mapping[str, Load] = field(default_factory=dict)
     loads_asof_s: float = NEVER_S
     admitted: Mapping[str, float] = field(default_factory=dict)
 
-    def take(
+    def apply(
         self,
-        news: ttypes.TableNews,
+        update: ttypes.TableNews,
         asof_s: float,
         now_s: float,
-    ) -> tuple[EndedStart, ...]:
-        """Take news; return the starts that ended.
+    ) -> tuple[EndedIncarnation, ...]:
+        """Apply an update; return the incarnations that ended.
 
-        News comes by several ways, and may be older than what is known.
+        Updates arrive over several paths and may be older than the table.
         """
-        if self.is_past(news, asof_s):
+        if self.is_outdated(update, asof_s):
             return ()
-        if news.whole:
-            self.begin_anew(news)
-        self.answered_s = max(self.answered_s, asof_s)
-        self.take_loads(news, asof_s)
-        if news.version < self.version:
+        if update.whole:
+            self.reset(update)
+        self.asof_s = max(self.asof_s, asof_s)
+        self.apply_loads(update, asof_s)
+        if update.version < self.version:
             return ()
-        self.version = news.version
-        gone = ends_from_wire(news.gone)
-        for start in gone:
-            self.end(start, now_s)
-        for info in news.upstreams or ():
-            announcement = upstream_from_wire(info)
+        self.version = update.version
+        ends = ends_from_wire(update.gone)
+        for ended in ends:
+            self.end_incarnation(ended, now_s)
+        for struct in update.upstreams or ():
+            announcement = upstream_from_wire(struct)
             self.upstreams[announcement.instance] = reported_upstream(
                 announcement,
                 now_s,
-                silent=bool(info.silent),
-                version=news.version,
+                silent=bool(struct.silent),
+                version=update.version,
             )
-        self.take_entries(news)
-        return gone
+        self.apply_entries(update)
+        return ends
 
-    def is_past(self, news: ttypes.TableNews, asof_s: float) -> bool:
-        """Tell whether news is of a process that another one has followed.
+    def is_outdated(self, update: ttypes.TableNews, asof_s: float) -> bool:
+        """Return whether an update is of a process that has been replaced.
 
-        News of a process that is not known is of use only where it is the
-        whole table, and newer than what is held.
+        An update of an unknown process can be applied only if it contains the
+        whole table and is newer than the one held.
         """
-        if news.source == self.source:
+        if update.source == self.source:
             return False
-        return not news.whole or asof_s <= self.answered_s
+        return not update.whole or asof_s <= self.asof_s
 
-    def begin_anew(self, news: ttypes.TableNews) -> None:
-        """Forget what the process before told."""
-        if news.source == self.source and news.version < self.version:
+    def reset(self, update: ttypes.TableNews) -> None:
+        """Discard the table of the previous process."""
+        if update.source == self.source and update.version < self.version:
             return
         self.upstreams.clear()
-        self.gone.clear()
-        self.ended.clear()
+        self.tombstones.clear()
+        self.ended_born_ms.clear()
         self.entries.clear()
-        self.source = news.source
-        self.region = news.region or ''
-        if news.control is not None:
-            self.control = address_of(news.control)
+        self.source = update.source
+        self.region = update.region or ''
+        if update.control is not None:
+            self.control = address_from_wire(update.control)
         self.version = 0
         self.entries_version = 0
 
-    def take_loads(self, news: ttypes.TableNews, asof_s: float) -> None:
-        """Take requests at upstreams, where they are newer."""
-        if news.loads is not None and asof_s > self.loads_asof_s:
-            self.loads = loads_from_wire(news.loads)
-            self.admitted = admitted_from_wire(news.admitted)
+    def apply_loads(self, update: ttypes.TableNews, asof_s: float) -> None:
+        """Replace the loads of upstreams if those of an update are newer."""
+        if update.loads is not None and asof_s > self.loads_asof_s:
+            self.loads = loads_from_wire(update.loads)
+            self.admitted = admitted_from_wire(update.admitted)
             self.loads_asof_s = asof_s
 
-    def take_entries(self, news: ttypes.TableNews) -> None:
-        """Take what is told of entry VMs."""
-        version = news.entries_version
+    def apply_entries(self, update: ttypes.TableNews) -> None:
+        """Apply the changes of entry VMs."""
+        version = update.entries_version
         if version < self.entries_version:
             return
         self.entries_version = version
-        for name in news.gone_entries or ():
-            self.entries[name] = HeardEntry(None, version)
-        for entry in map(entry_from_wire, news.entries or ()):
-            self.entries[entry.name] = HeardEntry(entry, version)
-
-    def end(self, start: EndedStart, now_s: float) -> None:
-        """Take the end of a start; a later one of the upstream stays."""
-        known = self.upstreams.get(start.instance)
-        if known is not None and known.announcement.born_ms == start.born_ms:
-            self.upstreams.pop(start.instance)
-        name = incarnation_name(start.instance, start.born_ms)
-        self.gone[name] = GoneStart(start, self.version, now_s)
-        ended_ms = self.ended.get(start.instance)
-        if ended_ms is None or (start.born_ms or 0) > ended_ms:
-            self.ended[start.instance] = start.born_ms
-
-    def forget(self, now_s: float) -> None:
-        """Drop ends of long ago; nobody holds a table that old."""
-        for name, gone in tuple(self.gone.items()):
-            if now_s - gone.gone_s > TOMBSTONE_S:
-                self.gone.pop(name)
-
-    def has_judged(self, instance: str, born_ms: int | None) -> bool:
-        """Tell whether the control VM itself knows that a start is over.
-
-        What it tells of that upstream now is then of a later start, even
-        where the upstream's clock says otherwise.
+        for name in update.gone_entries or ():
+            self.entries[name] = ReportedEntry(None, version)
+        for entry in map(entry_from_wire, update.entries or ()):
+            self.entries[entry.name] = ReportedEntry(entry, version)
+
+    def end_incarnation(self, ended: EndedIncarnation, now_s: float) -> None:
+        """End an incarnation; a later one of the upstream remains."""
+        known = self.upstreams.get(ended.instance)
+        if known is not None and known.announcement.born_ms == ended.born_ms:
+            self.upstreams.pop(ended.instance)
+        name = incarnation_name(ended.instance, ended.born_ms)
+        self.tombstones[name] = Tombstone(ended, self.version, now_s)
+        born_ms = self.ended_born_ms.get(ended.instance)
+        if born_ms is None or (ended.born_ms or 0) > born_ms:
+            self.ended_born_ms[ended.instance] = ended.born_ms
+
+    def expire(self, now_s: float) -> None:
+        """Remove old tombstones; no process holds a table that old."""
+        for name, tombstone in tuple(self.tombstones.items()):
+            if now_s - tombstone.ended_s > TOMBSTONE_TTL_S:
+                self.tombstones.pop(name)
+
+    def knows_ended(self, instance: str, born_ms: int | None) -> bool:
+        """Return whether the control VM itself knows an incarnation ended.
+
+        The incarnation that it reports now is then a later one, even if the
+        upstream's clock says otherwise.
         """
-        if instance not in self.ended:
+        if instance not in self.ended_born_ms:
             return False
-        ended_ms = self.ended[instance]
+        ended_ms = self.ended_born_ms[instance]
         return born_ms is None or (ended_ms is not None and ended_ms >= born_ms)
 
     def is_fresh(self, now_s: float) -> bool:
-        """Tell whether the table is as of late."""
-        return now_s - self.answered_s <= FRESH_S
+        """Return whether the table is at most `FRESH_S` old."""
+        return now_s - self.asof_s <= FRESH_S
 
-    def present(self) -> Iterator[EntryRecord]:
-        """Give the entry VMs that it hears."""
+    def present_entries(self) -> Iterator[EntryRecord]:
+        """Yield the entry VMs that have not departed."""
         for entry in self.entries.values():
             if entry.record is not None:
                 yield entry.record
@@ -227,33 +233,40 @@
     *,
     silent: bool,
     version: int = 0,
-) -> HeardUpstream:
-    """Return an incarnation with its durations as points in time."""
+) -> ReportedUpstream:
+    """Return an incarnation, its durations converted to points in time."""
     ends_at_s = (
         None
         if announcement.ends_in_s is None
         else now_s + announcement.ends_in_s
     )
     cold_until_s = now_s + announcement.cold_s
-    return HeardUpstream(announcement, cold_until_s, ends_at_s, silent, version)
+    return ReportedUpstream(
+        announcement,
+        cold_until_s,
+        ends_at_s,
+        silent,
+        version,
+    )
 
 
 @dataclass(frozen=True)
 class UpstreamSeen:
-    """One incarnation of an upstream as an entry VM believes it to be.
+    """One incarnation of an upstream in the merged view.
 
     Parameters
     ----------
     announcement : UpstreamAnnounced
-        The newest announcement that any control VM told of.
+        Its newest announcement that any control VM reported.
     region : str
-        Region of its failure domain; empty where that is not known.
+        Region of its failure domain; empty if unknown.
     cold_until_s : float
-        When it stops being cold, in monotonic seconds.
+        When its cold start ends, in monotonic seconds.
     ends_at_s : float or None
-        When it is gone whatever it runs.
+        When it terminates, whether or not requests are still running; None if
+        unknown.
     silent : bool
-        True where no control VM has heard of it of late.
+        True if no control VM has received an announcement recently.
     """
 
     announcement: UpstreamAnnounced
@@ -265,23 +278,23 @@
 
 @dataclass
 class RegistryView:
-    """What all control VMs together tell of upstreams and entry VMs.
+    """Upstreams and entry VMs, merged from the tables of all control VMs.
 
     Parameters
     ----------
     upstreams : mapping
-        Incarnations that have not left, by instance.
+        Incarnations that have not ended, by name.
     entries : mapping
-        Entry VMs that are heard, by name.
+        Entry VMs that poll a control VM, by name.
     loads : mapping
-        Requests of the other entry VMs at each incarnation.
-    doors : mapping
-        Entry VMs that take requests, by region.
+        Load of each incarnation by the other entry VMs.
+    entry_points : mapping
+        Entry VMs that accept requests, by region.
     """
 
     upstreams: Mapping[str, UpstreamSeen] = field(default_factory=dict)
     entries: Mapping[str, EntryRecord] = field(default_factory=dict)
     loads: Mapping[str, Load] = field(default_factory=dict)
     entry_points: Mapping[str, tuple[EntryRecord, ...]] = field(
-        default_factory=dict
+        default_factory=dict,
     )
--- a/godwitshunt/registry/wire.py
+++ b/godwitshunt/registry/wire.py
@@ -1,35 +1,35 @@
-"""Between this slice's data classes and its thrift structs."""
+"""Conversion between the registry's data classes and its thrift structs."""
 
 from collections.abc import Iterable, Mapping
 
 from godwitshunt.exceptions import FrameError
 from godwitshunt.registry.gen.wire import ttypes
+from godwitshunt.registry.incarnations import EndedIncarnation
 from godwitshunt.registry.ledger import Report, ReportedLoad
 from godwitshunt.registry.prefixes import CachedPrefix
 from godwitshunt.registry.records import EntryRecord, Load, UpstreamAnnounced
-from godwitshunt.registry.starts import EndedStart
 from godwitshunt.registry.table import UpstreamEntry
 from godwitshunt.settings import Address
 
 MILLISECONDS = 1000
-LONGEST_AGE_MS = 1_000_000
+MAX_AGE_MS = 1_000_000
 
 
-def endpoint(address: Address) -> ttypes.Endpoint:
+def address_to_wire(address: Address) -> ttypes.Endpoint:
     """Return an address as a struct."""
     return ttypes.Endpoint(address.host, address.port)
 
 
-def address_of(announcement: ttypes.Endpoint) -> Address:
+def address_from_wire(endpoint: ttypes.Endpoint) -> Address:
     """Read an address.
 
     Raises
     ------
     FrameError
-        Where there is none.
+        If it is missing or invalid.
     """
     try:
-        return Address(host=announcement.host, port=announcement.port)
+        return Address(host=endpoint.host, port=endpoint.port)
     except (ValueError, AttributeError) as bad:
         raise FrameError(f'Endpoint: {bad!r}') from None
 
@@ -41,7 +41,7 @@
     """Return an incarnation in a control VM's own table as a struct."""
     ends_in_s = known.announcement.ends_in_s
     if ends_in_s is not None:
-        ends_in_s -= now_s - known.heard_s
+        ends_in_s -= now_s - known.last_seen_s
     return announcement_to_wire(
         known.announcement,
         cold_s=known.cold_until_s - now_s,
@@ -57,12 +57,12 @@
     ends_in_s: float | None,
     silent: bool,
 ) -> ttypes.UpstreamInfo:
-    """Return an incarnation as a struct.
+    """Return an announcement as a struct.
 
     Parameters
     ----------
     cold_s, ends_in_s : float
-        Seconds from now; those of the announcement are from its arrival.
+        Seconds from now; the announcement's own values count from its arrival.
     """
     ends_in_ms = None
     if ends_in_s is not None:
@@ -70,7 +70,7 @@
     return ttypes.UpstreamInfo(
         instance=announcement.instance,
         service_name=announcement.service,
-        address=endpoint(announcement.address),
+        address=address_to_wire(announcement.address),
         failure_domain=announcement.failure_domain,
         slots=announcement.slots,
         draining=announcement.draining,
@@ -82,36 +82,37 @@
     )
 
 
-def upstream_from_wire(info: ttypes.UpstreamInfo) -> UpstreamAnnounced:
-    """Read an incarnation."""
+def upstream_from_wire(struct: ttypes.UpstreamInfo) -> UpstreamAnnounced:
+    """Read an announcement."""
     ends_in_s = None
-    if info.ends_in_ms is not None:
-        ends_in_s = info.ends_in_ms / MILLISECONDS
+    if struct.ends_in_ms is not None:
+        ends_in_s = struct.ends_in_ms / MILLISECONDS
     return UpstreamAnnounced(
-        instance=info.instance,
-        service=info.service_name,
-        address=address_of(info.address),
-        failure_domain=info.failure_domain,
-        slots=info.slots,
-        draining=bool(info.draining),
-        cold_s=info.cold_ms / MILLISECONDS,
-        sequence=info.sequence,
+        instance=struct.instance,
+        service=struct.service_name,
+        address=address_from_wire(struct.address),
+        failure_domain=struct.failure_domain,
+        slots=struct.slots,
+        draining=bool(struct.draining),
+        cold_s=struct.cold_ms / MILLISECONDS,
+        sequence=struct.sequence,
         ends_in_s=ends_in_s,
-        born_ms=info.born_ms,
+        born_ms=struct.born_ms,
     )
 
 
-def ends_to_wire(ends: Iterable[EndedStart]) -> list[ttypes.StartEnded]:
-    """Return starts that ended as structs."""
-    return [ttypes.StartEnded(one.instance, one.born_ms) for one in ends]
+def ends_to_wire(ends: Iterable[EndedIncarnation]) -> list[ttypes.StartEnded]:
+    """Return ended incarnations as structs."""
+    return [ttypes.StartEnded(ended.instance, ended.born_ms) for ended in ends]
 
 
 def ends_from_wire(
-    announcement: Iterable[ttypes.StartEnded] | None,
-) -> tuple[EndedStart, ...]:
-    """Read starts that ended."""
+    structs: Iterable[ttypes.StartEnded] | None,
+) -> tuple[EndedIncarnation, ...]:
+    """Read ended incarnations."""
     return tuple(
-        EndedStart(one.instance, one.born_ms) for one in announcement or ()
+        EndedIncarnation(struct.instance, struct.born_ms)
+        for struct in structs or ()
     )
 
 
@@ -122,31 +123,37 @@
         session=record.session,
         region=record.region,
         failure_domain=record.failure_domain,
-        http=endpoint(record.http),
-        hop=endpoint(record.hop),
+        http=address_to_wire(record.http),
+        hop=address_to_wire(record.hop),
         accepting=record.accepting,
     )
 
 
-def entry_from_wire(info: ttypes.EntryInfo) -> EntryRecord:
-    """Read an entry VM."""
-    if info is None:
+def entry_from_wire(struct: ttypes.EntryInfo) -> EntryRecord:
+    """Read an entry VM.
+
+    Raises
+    ------
+    FrameError
+        If it is missing.
+    """
+    if struct is None:
         raise FrameError('Poll: no entry')
     return EntryRecord(
-        name=info.name,
-        session=info.session,
-        region=info.region,
-        failure_domain=info.failure_domain,
-        http=address_of(info.http),
-        hop=address_of(info.hop),
-        accepting=bool(info.accepting),
+        name=struct.name,
+        session=struct.session,
+        region=struct.region,
+        failure_domain=struct.failure_domain,
+        http=address_from_wire(struct.http),
+        hop=address_from_wire(struct.hop),
+        accepting=bool(struct.accepting),
     )
 
 
 def loads_to_wire(
     loads: Iterable[tuple[str, Load]],
 ) -> list[ttypes.UpstreamLoad]:
-    """Return requests at upstreams as structs."""
+    """Return the loads of upstreams as structs."""
     return [
         ttypes.UpstreamLoad(instance, load.in_flight, load.pending_tokens)
         for instance, load in loads
@@ -154,12 +161,12 @@
 
 
 def loads_from_wire(
-    announcement: Iterable[ttypes.UpstreamLoad] | None,
+    structs: Iterable[ttypes.UpstreamLoad] | None,
 ) -> Mapping[str, Load]:
-    """Read requests at upstreams."""
+    """Read the loads of upstreams, by incarnation."""
     return {
-        one.instance: Load(one.in_flight, one.pending_tokens)
-        for one in announcement or ()
+        struct.instance: Load(struct.in_flight, struct.pending_tokens)
+        for struct in structs or ()
     }
 
 
@@ -173,7 +180,7 @@
     Parameters
     ----------
     places_of : str
-        The control process whose places the report holds.
+        Control process whose reservations the report includes.
     """
     return ttypes.LoadReport(
         number=report.number,
@@ -181,20 +188,20 @@
         loads=[
             ttypes.UpstreamLoad(
                 instance,
-                one.load.in_flight,
-                one.load.pending_tokens,
-                age_ms(one.oldest_s, now_s),
-                age_ms(one.last_received_s, now_s),
+                reported.load.in_flight,
+                reported.load.pending_tokens,
+                age_ms(reported.oldest_s, now_s),
+                age_ms(reported.last_received_s, now_s),
             )
-            for instance, one in report.loads.items()
+            for instance, reported in report.loads.items()
         ],
         places_of=places_of,
-        places_taken=report.places_taken,
+        places_taken=report.last_reservation,
     )
 
 
 def report_from_wire(
-    announcement: ttypes.LoadReport,
+    struct: ttypes.LoadReport,
     source: str,
     now_s: float,
 ) -> Report:
@@ -203,69 +210,76 @@
     Parameters
     ----------
     source : str
-        The process that reads it; places of another one are not its own.
+        Control process that reads the report; the reservations of another
+        process are ignored.
     """
     loads = {
-        one.instance: ReportedLoad(
-            Load(one.in_flight, one.pending_tokens),
-            since_s(one.waiting_ms, now_s),
-            since_s(one.heard_ms, now_s),
+        load.instance: ReportedLoad(
+            Load(load.in_flight, load.pending_tokens),
+            time_of_age_s(load.waiting_ms, now_s),
+            time_of_age_s(load.heard_ms, now_s),
         )
-        for one in announcement.loads or ()
+        for load in struct.loads or ()
     }
-    taken = announcement.places_taken if announcement.places_of == source else 0
-    return Report(announcement.session or '', announcement.number, loads, taken)
+    included = struct.places_taken if struct.places_of == source else 0
+    return Report(struct.session or '', struct.number, loads, included)
 
 
 def admitted_to_wire(
     admitted: Mapping[str, float],
 ) -> list[ttypes.AdmittedUnits]:
-    """Return what organisations were admitted as structs."""
+    """Return the units admitted for organisations as structs."""
     return [
         ttypes.AdmittedUnits(name, units) for name, units in admitted.items()
     ]
 
 
 def admitted_from_wire(
-    announcement: list[ttypes.AdmittedUnits] | None,
+    structs: list[ttypes.AdmittedUnits] | None,
 ) -> dict[str, float]:
-    """Read what organisations were admitted."""
-    return {one.organisation: one.units or 0.0 for one in announcement or ()}
+    """Read the units admitted, by organisation."""
+    return {
+        struct.organisation: struct.units or 0.0 for struct in structs or ()
+    }
 
 
 def age_ms(since_s: float | None, now_s: float) -> int | None:
-    """Return a point in time as milliseconds ago."""
+    """Return the age of a point in time, in milliseconds."""
     if since_s is None:
         return None
-    return min(LONGEST_AGE_MS, max(0, int((now_s - since_s) * MILLISECONDS)))
+    return min(MAX_AGE_MS, max(0, int((now_s - since_s) * MILLISECONDS)))
 
 
-def since_s(age: int | None, now_s: float) -> float | None:
-    """Return milliseconds ago as a point in time."""
+def time_of_age_s(age: int | None, now_s: float) -> float | None:
+    """Return the point in time that is an age in milliseconds ago."""
     return None if age is None else now_s - age / MILLISECONDS
 
 
 def prefixes_to_wire(
-    reads: Iterable[CachedPrefix],
+    prefixes: Iterable[CachedPrefix],
     now_s: float,
 ) -> list[ttypes.PrefixInfo]:
-    """Return prefixes that were read as structs, with their ages."""
+    """Return cached prefixes as structs, with their ages."""
     return [
         ttypes.PrefixInfo(
-            read.key,
-            read.instance,
-            int((now_s - read.read_s) * MILLISECONDS),
+            prefix.key,
+            prefix.instance,
+            int((now_s - prefix.cached_s) * MILLISECONDS),
         )
-        for read in reads
+        for prefix in prefixes
     ]
 
 
 def prefixes_from_wire(
-    announcement: Iterable[ttypes.PrefixInfo] | None,
+    structs: Iterable[ttypes.PrefixInfo] | None,
     now_s: float,
 ) -> tuple[CachedPrefix, ...]:
-    """Read prefixes that were read, an age later than was told."""
+    """Read cached prefixes; ages become points in time."""
     return tuple(
-        CachedPrefix(one.key, one.instance, now_s - one.age_ms / MILLISECONDS)
-        for one in announcement or ()
+        CachedPrefix(
+            struct.key,
+            struct.instance,
+            now_s - struct.age_ms / MILLISECONDS,
+        )
+        for struct in structs or ()
     )
