--- a/godwitshunt/registry/tests/test_suspects.py
+++ b/godwitshunt/registry/tests/test_suspects.py
@@ -28,7 +28,7 @@
 
 
 def status(watch):
-    """Return the standing of the lethal request at an entry VM."""
+    """Return the quarantine status of the lethal request at an entry VM."""
     return watch.quarantine.assessment(LETHAL).status
 
 
@@ -72,7 +72,7 @@
 
 
 async def test_restarted_control_vm_receives_losses_again(deployment):
-    """All losses were lost with the control VMs' processes."""
+    """The restarted control VMs have lost all recorded losses."""
     watch = deployment.entry(11, 'a')
     await deployment.poll_controls(watch)
     for number in range(3):
@@ -159,8 +159,8 @@
 ):
     """An entry VM holds a higher version of the previous process."""
     watch, other = deployment.entry(11, 'a'), deployment.entry(12, 'b')
-    for polling in (watch, other):
-        await deployment.poll_controls(polling)
+    for entry in (watch, other):
+        await deployment.poll_controls(entry)
     for number in range(50):
         record_loss(watch, 'i-9', Fingerprint(number.to_bytes(16, 'little')))
     await spread(deployment, watch)
--- a/godwitshunt/registry/tests/test_update_schedules.py
+++ b/godwitshunt/registry/tests/test_update_schedules.py
@@ -102,7 +102,7 @@
         self.cut(pair, both)
 
     def cut(self, pair, both):
-        """Lose messages from the first VM to the second, or in both ways."""
+        """Lose messages from the first VM to the second, or in both directions."""
         sender, receiver = map(address, pair)
         self.deployment.network.cut.add((sender, receiver))
         if both:
@@ -124,7 +124,7 @@
 
     @rule()
     def heal(self):
-        """Remove all faults."""
+        """Remove all cuts and freezes."""
         self.deployment.network.heal()
         self.record_reach()
 
