--- a/godwitshunt/registry/tests/test_update_schedules.py
+++ b/godwitshunt/registry/tests/test_update_schedules.py
@@ -102,7 +102,7 @@
         self.cut(pair, both)
 
     def cut(self, pair, both):
-        """Lose messages from the first VM to the second, or in both directions."""
+        """Lose the messages between two VMs in one or both directions."""
         sender, receiver = map(address, pair)
         self.deployment.network.cut.add((sender, receiver))
         if both:
