--- a/godwitshunt/claims/__init__.py
+++ b/godwitshunt/claims/__init__.py
@@ -2,7 +2,8 @@
 
 import lazy_loader
 
-# Loaded when first used: a program starts without the parts that it lacks.
+# Submodules are loaded on first use, so that a program imports only what it
+# needs.
 __getattr__, __dir__, __all__ = lazy_loader.attach(
     __name__,
     submod_attrs={
--- a/godwitshunt/claims/claimant.py
+++ b/godwitshunt/claims/claimant.py
@@ -1,15 +1,16 @@
-"""The claimer's side, as pure logic: what holders' answers come to.
+"""Decisions of a claimant from the holders' answers, as pure functions.
 
-An attempt runs only with the votes of a majority, all of present lives. An
-attempt that does not run is withdrawn. Where several attempts split the
-votes, the one with the highest number goes on and the others withdraw, so
-that one of them gets a majority.
+An attempt runs only with the votes of a majority of holders, each cast in the
+holder's current incarnation. An attempt that does not run is withdrawn. If
+several attempts split the votes, the one with the highest number continues
+and the others withdraw, so that one of them gets a majority.
 """
 
 from collections import Counter
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from godwitshunt.claims.holder_status import current_statuses, majority
 from godwitshunt.claims.messages import (
     AlreadyAnswered,
     ClaimOutcome,
@@ -20,128 +21,127 @@
     RunUnknown,
     StoredAnswer,
 )
-from godwitshunt.claims.standing import majority, of_present_lives
 from godwitshunt.claims.verdicts import HolderAnswer, Verdict
 
 
 @dataclass(frozen=True)
 class Run:
-    """A majority voted for this attempt."""
+    """A majority has voted for this attempt: run the call."""
 
 
 @dataclass(frozen=True)
 class Wait:
-    """Wait for further answers."""
+    """Wait for more answers."""
 
 
 @dataclass(frozen=True)
-class AskAgain:
-    """Every holder answered or failed: ask those once more, soon."""
+class PollAgain:
+    """Every holder answered or failed without a decision: poll again."""
 
 
 @dataclass(frozen=True)
 class Yield:
-    """Withdraw: another attempt has a majority or goes before this one."""
+    """Withdraw in favour of another attempt, which runs on `vm`."""
 
     vm: str
 
 
 @dataclass(frozen=True)
-class ClaimAnew:
-    """The attempt that was waited for has withdrawn: claim with a new one."""
+class StartNewAttempt:
+    """The competing attempt was withdrawn: make a new attempt."""
 
 
 @dataclass(frozen=True)
 class End:
-    """Withdraw, and tell the caller."""
+    """Withdraw and return the outcome to the caller."""
 
     outcome: ClaimOutcome
 
 
-ClaimStep = Run | Wait | AskAgain | Yield | ClaimAnew | End
+ClaimStep = Run | Wait | PollAgain | Yield | StartNewAttempt | End
 
 Answers = Mapping[str, HolderAnswer]
 
 
-def decide_claim(
+def next_voting_step(
     number: int,
     holder_count: int,
     answers: Answers,
     pending: int,
 ) -> ClaimStep:
-    """Return what an attempt does next.
+    """Return the next step of an attempt that collects votes.
 
     Parameters
     ----------
     number : int
         The attempt's number.
     holder_count : int
-        Holders of the key's generation.
+        Number of holders in the key's generation.
     answers : mapping of str to HolderAnswer
         The newest answer of each holder.
     pending : int
-        Holders that may still answer.
+        Number of holders that may still answer.
     """
     needed = majority(holder_count)
-    granted = of_present_lives(
+    granted = current_statuses(
         {
-            holder: answer.standing
+            holder: answer.holder_status
             for holder, answer in answers.items()
-            if answer.verdict is Verdict.granted and answer.standing
+            if answer.verdict is Verdict.granted and answer.holder_status
         },
     )
     if len(granted) >= needed:
         return Run()
-    ending = final_outcome(holder_count, answers)
-    if ending is not None:
-        return End(ending)
-    rivals = rival_votes(answers)
-    strongest = max(rivals, key=rivals.get, default=None)
-    if strongest is not None and rivals[strongest] >= needed:
-        return Yield(rival_vm(strongest, answers))
+    outcome = final_outcome(holder_count, answers)
+    if outcome is not None:
+        return End(outcome)
+    competitors = competing_votes(answers)
+    leading = max(competitors, key=competitors.get, default=None)
+    if leading is not None and competitors[leading] >= needed:
+        return Yield(competing_vm(leading, answers))
     if pending:
         return Wait()
-    highest = max(rivals, default=0)
+    highest = max(competitors, default=0)
     if highest > number:
-        return Yield(rival_vm(highest, answers))
-    return AskAgain()
+        return Yield(competing_vm(highest, answers))
+    return PollAgain()
 
 
-def decide_wait(holder_count: int, answers: Answers) -> ClaimStep:
-    """Return what an attempt that has yielded does next."""
-    ending = final_outcome(holder_count, answers)
-    if ending is not None:
-        return End(ending)
+def next_waiting_step(holder_count: int, answers: Answers) -> ClaimStep:
+    """Return the next step of a claim that waits for a competitor."""
+    outcome = final_outcome(holder_count, answers)
+    if outcome is not None:
+        return End(outcome)
     free = count_verdicts(answers, Verdict.free)
     if free >= majority(holder_count):
-        return ClaimAnew()
+        return StartNewAttempt()
     return Wait()
 
 
-def decide_deadline(
+def outcome_at_deadline(
     holder_count: int,
     answers: Answers,
     yielded_to: str | None,
 ) -> ClaimOutcome:
-    """Return what the caller is told when time is up."""
+    """Return the outcome of a claim whose deadline has passed."""
     if yielded_to is not None:
         return InProgress(yielded_to)
-    useful = [
+    votes = [
         answer
         for answer in answers.values()
         if answer.verdict is not Verdict.abstained
     ]
-    return NoMajority(len(useful), majority(holder_count))
+    return NoMajority(len(votes), majority(holder_count))
 
 
 def final_outcome(holder_count: int, answers: Answers) -> ClaimOutcome | None:
-    """Return an outcome that no further answer can change."""
+    """Return an outcome that no further answer can change, or None."""
     for answer in answers.values():
-        match answer.ending:
+        match answer.run_result:
             case StoredAnswer():
-                return AlreadyAnswered(answer.ending)
+                return AlreadyAnswered(answer.run_result)
             case RunUnknown():
-                return answer.ending
+                return answer.run_result
     if count_verdicts(answers, Verdict.reused):
         return KeyReused()
     expired = count_verdicts(answers, Verdict.expired)
@@ -155,8 +155,8 @@
     return sum(answer.verdict is verdict for answer in answers.values())
 
 
-def rival_votes(answers: Answers) -> Counter[int]:
-    """Return the votes of each other attempt, by its number."""
+def competing_votes(answers: Answers) -> Counter[int]:
+    """Return the votes for each other attempt, by attempt number."""
     return Counter(
         answer.attempt
         for answer in answers.values()
@@ -164,8 +164,8 @@
     )
 
 
-def rival_vm(number: int, answers: Answers) -> str:
-    """Return the VM that another attempt belongs to."""
+def competing_vm(number: int, answers: Answers) -> str:
+    """Return the VM that made a competing attempt."""
     return next(
         answer.vm
         for answer in answers.values()
--- a/godwitshunt/claims/claims.thrift
+++ b/godwitshunt/claims/claims.thrift
@@ -1,11 +1,11 @@
-/** Claims on idempotency keys, between claimants and holders of a region. */
+/** Claims on idempotency keys, between the claimants and holders of a region. */
 namespace py wire
 
-/** What a holder knows of its fellow holders' incarnations. */
+/** A holder's status: its incarnation, its epoch, and what it knows of peers. */
 struct Standing {
-  /** The holder's own incarnation in this generation. */
+  /** The holder's incarnation in this generation. */
   1: i64 incarnation
-  /** The highest incarnations that it has heard of, by holder name. */
+  /** The highest known incarnation of each peer, by holder name. */
   2: map<string, i64> known
   3: i64 epoch
 }
@@ -21,15 +21,15 @@
   2: binary text
 }
 
-/** Claim, query, release and finish carry the same head. */
+/** A claim, query, release or finish; the message kind says which. */
 struct ClaimCall {
   1: string key
   2: binary request_digest
   3: string vm
   4: i64 attempt
-  /** Highest epoch that the sender heard of from holders. */
+  /** The highest epoch that holders reported to the sender. */
   5: i64 epoch
-  /** On finish: the answer, or why none is kept. */
+  /** On finish: the answer, or else in `unknown` why none is stored. */
   6: optional Answer answer
   7: optional string unknown
 }
@@ -44,7 +44,7 @@
   6: optional string reason
 }
 
-/** To the VM of an attempt: whether it runs a key's call now. */
+/** Asks the VM of an attempt whether it is running a key's call. */
 struct RunningCall {
   1: string key
 }
@@ -53,12 +53,12 @@
   1: bool running
 }
 
-/** Between holders: epochs, and the recovery of one that forgot. */
+/** Between holders: epoch exchange, and recovery of one that lost votes. */
 struct HolderCall {
   1: string region
   2: i64 generation
   3: i64 epoch
-  /** On recovery: the incarnation that the sender takes; 0 asks only. */
+  /** On recovery: the incarnation that the sender adopts; 0 only queries. */
   4: optional i64 incarnation
 }
 
@@ -70,10 +70,10 @@
 struct JournalRecord {
   1: string region
   2: i64 generation
-  /** Present where the holder's standing changed. */
+  /** Present if the holder's status changed. */
   3: optional Standing standing
   4: optional i64 floor
-  /** Present where a claim changed. */
+  /** Present if a claim changed. */
   5: optional string key
   6: optional binary request_digest
   7: optional string vm
--- a/godwitshunt/claims/holder.py
+++ b/godwitshunt/claims/holder.py
@@ -1,13 +1,15 @@
 """One holder of one generation, as pure logic.
 
-A holder never grants a key below its floor, and its floor only rises. Below
-it claims are dropped; so of any two majorities for one key, the holder in
-both either remembers the first or refuses the second.
+A holder never grants a key whose epoch is below its floor epoch, and the floor
+epoch only rises. Claims below it are dropped. Of any two majorities for one
+key, the holder in both therefore either still has the first vote or refuses
+the second.
 """
 
 from collections import deque
 from dataclasses import dataclass, field, replace
 
+from godwitshunt.claims.holder_status import HolderStatus
 from godwitshunt.claims.keys import ClaimKey
 from godwitshunt.claims.messages import StoredAnswer
 from godwitshunt.claims.records import (
@@ -16,7 +18,6 @@
     ClaimStore,
 )
 from godwitshunt.claims.recovery import Recovered
-from godwitshunt.claims.standing import Standing
 from godwitshunt.claims.verdicts import (
     Attempt,
     Claim,
@@ -32,22 +33,22 @@
 
 
 @dataclass(frozen=True)
-class StandingChanged:
-    """Must be in the journal before the next answer."""
+class HolderStatusChanged:
+    """A changed status; it must be in the journal before the next answer."""
 
-    standing: Standing
-    floor: int
+    status: HolderStatus
+    floor_epoch: int
 
 
 @dataclass(frozen=True)
 class ClaimChanged:
-    """Must be in the journal before the answer that it belongs to."""
+    """A changed claim; it must be in the journal before its answer is sent."""
 
     key: ClaimKey
     record: ClaimRecord
 
 
-HolderChange = StandingChanged | ClaimChanged
+HolderChange = HolderStatusChanged | ClaimChanged
 
 
 @dataclass
@@ -57,69 +58,73 @@
     Parameters
     ----------
     name : str
-        The holder's VM.
+        Name of the holder's VM.
     recovering : bool
-        True while it may have forgotten votes: it abstains.
-    floor : int
+        True while the holder may have lost votes; it abstains.
+    floor_epoch : int
         The lowest epoch whose keys it may grant.
-    ended : deque of (int, float)
-        Epochs that are over and when they ended here; their claims are kept
-        for a further epoch.
-    changes : list
-        What the journal does not have yet.
+    ended_epochs : deque of (int, float)
+        Past epochs and when they ended here, in monotonic seconds; their
+        claims are retained for one more epoch.
+    pending_changes : list
+        Changes not yet written to the journal.
     """
 
     name: str
     recovering: bool = False
     incarnation: int = 0
-    known: dict[str, int] = field(default_factory=dict)
+    known_incarnations: dict[str, int] = field(default_factory=dict)
     epoch: int = 0
-    floor: int = 0
+    floor_epoch: int = 0
     epoch_began_s: float = 0.0
-    ended: deque[tuple[int, float]] = field(default_factory=deque)
+    ended_epochs: deque[tuple[int, float]] = field(default_factory=deque)
     store: ClaimStore = field(default_factory=ClaimStore)
-    changes: list[HolderChange] = field(default_factory=list)
+    pending_changes: list[HolderChange] = field(default_factory=list)
 
-    def standing(self) -> Standing:
-        """Return the standing that votes and replies carry."""
-        return Standing(self.incarnation, dict(self.known), self.epoch)
+    def status(self) -> HolderStatus:
+        """Return the status that accompanies votes and replies."""
+        return HolderStatus(
+            self.incarnation, dict(self.known_incarnations), self.epoch
+        )
 
     def drain_changes(self) -> tuple[HolderChange, ...]:
-        """Return what is to be written to the journal, once."""
-        taken = tuple(self.changes)
-        self.changes.clear()
-        return taken
+        """Return and clear the changes to be written to the journal."""
+        drained = tuple(self.pending_changes)
+        self.pending_changes.clear()
+        return drained
 
     def tick(self, now_s: float) -> bool:
-        """Advance the epoch when it is over; return whether claims went.
+        """Advance the epoch when it ends; return whether claims were dropped.
 
-        Each holder advances by its own clock and follows the highest epoch
-        that it hears of, so epochs go on also in an isolated region. No
-        agreement is needed for safety: a floor that rises early refuses keys,
-        it never grants one twice.
+        Each holder advances by its own clock and adopts the highest epoch
+        that it receives, so epochs advance in an isolated region too. Safety
+        needs no agreement on epochs: a floor epoch that rises early refuses
+        keys but never grants one twice.
         """
         if self.recovering:
             return False
         if now_s - self.epoch_began_s >= EPOCH_S:
-            self.adopt(self.epoch + 1, now_s)
-        while self.ended and now_s - self.ended[0][1] >= EPOCH_S:
-            over, _ = self.ended.popleft()
-            self.floor = max(self.floor, over + 1)
-            self.note_standing()
-        return self.store.drop_below(self.floor)
-
-    def adopt(self, epoch: int, now_s: float) -> None:
-        """Follow a higher epoch."""
+            self.advance_epoch(self.epoch + 1, now_s)
+        while self.ended_epochs and now_s - self.ended_epochs[0][1] >= EPOCH_S:
+            past_epoch, _ = self.ended_epochs.popleft()
+            self.floor_epoch = max(self.floor_epoch, past_epoch + 1)
+            self.record_status()
+        return self.store.drop_below(self.floor_epoch)
+
+    def advance_epoch(self, epoch: int, now_s: float) -> None:
+        """Adopt an epoch if it is higher than the current one."""
         if epoch <= self.epoch or self.recovering:
             return
-        self.ended.append((epoch - 1, now_s))
+        self.ended_epochs.append((epoch - 1, now_s))
         self.epoch = epoch
         self.epoch_began_s = now_s
-        self.note_standing()
+        self.record_status()
 
-    def note_standing(self) -> None:
-        """Have the standing written to the journal."""
-        self.changes.append(StandingChanged(self.standing(), self.floor))
+    def record_status(self) -> None:
+        """Queue the status for the journal."""
+        self.pending_changes.append(
+            HolderStatusChanged(self.status(), self.floor_epoch)
+        )
 
     def answer_peer(
         self,
@@ -127,31 +132,31 @@
         incarnation: int,
         epoch: int,
         now_s: float,
-    ) -> Standing | None:
-        """Answer a fellow holder that asks, or that recovers.
+    ) -> HolderStatus | None:
+        """Answer a peer that exchanges epochs or recovers.
 
         Returns
         -------
-        Standing or None
-            None while this holder itself may have forgotten.
+        HolderStatus or None
+            None while this holder itself may have lost votes.
         """
         if self.recovering:
             return None
-        if incarnation > self.known.get(peer, 0):
-            self.known[peer] = incarnation
-            self.note_standing()
-        self.adopt(epoch, now_s)
-        return self.standing()
+        if incarnation > self.known_incarnations.get(peer, 0):
+            self.known_incarnations[peer] = incarnation
+            self.record_status()
+        self.advance_epoch(epoch, now_s)
+        return self.status()
 
     def recover(self, recovered: Recovered, now_s: float) -> None:
-        """Vote again, above every epoch in which votes were forgotten."""
+        """Resume voting above every epoch in which votes may be lost."""
         self.incarnation = recovered.incarnation
-        self.known = dict(recovered.known)
-        self.epoch = recovered.floor
-        self.floor = recovered.floor
+        self.known_incarnations = dict(recovered.known_incarnations)
+        self.epoch = recovered.floor_epoch
+        self.floor_epoch = recovered.floor_epoch
         self.epoch_began_s = now_s
         self.recovering = False
-        self.note_standing()
+        self.record_status()
 
     def apply(
         self,
@@ -159,19 +164,19 @@
         epoch: int,
         now_s: float,
     ) -> HolderAnswer:
-        """Answer a claimant.
+        """Apply a claimant's request and return the answer.
 
         Parameters
         ----------
         epoch : int
-            The highest epoch that the claimant's VM heard of from holders.
-            The epoch in the key is a caller's word and moves nothing.
+            The highest epoch that holders reported to the claimant's VM. The
+            epoch in the key comes from the caller and is never adopted.
         """
         if self.recovering:
             return HolderAnswer(Verdict.abstained)
-        self.adopt(epoch, now_s)
+        self.advance_epoch(epoch, now_s)
         key = request.attempt.key
-        if key.epoch < self.floor:
+        if key.epoch < self.floor_epoch:
             return self.answer(Verdict.expired)
         if key.epoch > self.epoch:
             return self.answer(Verdict.abstained)
@@ -189,19 +194,19 @@
                 return self.finish(request, record)
 
     def answer(self, verdict: Verdict) -> HolderAnswer:
-        """Return a verdict with the present standing."""
-        return HolderAnswer(verdict, self.standing())
+        """Return a verdict with the current status."""
+        return HolderAnswer(verdict, self.status())
 
     def claim(
         self,
         attempt: Attempt,
         record: ClaimRecord | None,
     ) -> HolderAnswer:
-        """Record an attempt where none is recorded."""
+        """Record an attempt if none is recorded for the key."""
         if record is not None and attempt.number in record.withdrawn:
             return self.answer(Verdict.abstained)
         if record is not None and record.attempt:
-            if record.attempt == attempt.number and record.ending is None:
+            if record.attempt == attempt.number and record.run_result is None:
                 return self.answer(Verdict.granted)
             return self.describe(attempt, record)
         withdrawn = () if record is None else record.withdrawn
@@ -221,24 +226,24 @@
         attempt: Attempt,
         record: ClaimRecord | None,
     ) -> HolderAnswer:
-        """Tell what is recorded."""
+        """Return what is recorded for the key of an attempt."""
         if record is None or not record.attempt:
             return self.answer(Verdict.free)
-        # An answer goes only to the request that it belongs to: another body
-        # under the same key would get a stranger's answer.
+        # Return a stored answer only for the same request: a different body
+        # under the same key would get the answer to another call.
         if record.request_digest != attempt.request_digest:
             return self.answer(Verdict.reused)
         verdict = Verdict.unknown
-        if record.ending is None:
+        if record.run_result is None:
             verdict = Verdict.held
-        if isinstance(record.ending, StoredAnswer):
+        if isinstance(record.run_result, StoredAnswer):
             verdict = Verdict.answered
         return HolderAnswer(
             verdict,
-            self.standing(),
+            self.status(),
             vm=record.vm,
             attempt=record.attempt,
-            ending=record.ending,
+            run_result=record.run_result,
         )
 
     def release(
@@ -246,11 +251,11 @@
         attempt: Attempt,
         record: ClaimRecord | None,
     ) -> HolderAnswer:
-        """Forget an attempt that never runs, also one still on its way."""
+        """Discard an attempt that never runs, even before its claim arrives."""
         if record is None:
             record = ClaimRecord(b'', '', 0)
         withdrawn = (*record.withdrawn, attempt.number)[-MAX_WITHDRAWN:]
-        if record.attempt == attempt.number and record.ending is None:
+        if record.attempt == attempt.number and record.run_result is None:
             record = ClaimRecord(b'', '', 0)
         self.put(attempt.key, replace(record, withdrawn=withdrawn))
         return self.answer(Verdict.done)
@@ -260,27 +265,27 @@
         request: Finish,
         record: ClaimRecord | None,
     ) -> HolderAnswer:
-        """Keep what came of an attempt.
+        """Record the run result of an attempt.
 
-        It is the proof of a run, so it takes the place of another attempt
-        that this holder recorded and that had no majority.
+        A run result proves that the attempt ran. It replaces a competing
+        attempt that this holder recorded, which cannot have had a majority.
         """
         attempt = request.attempt
-        repeated = record is not None and record.ending is not None
-        if not repeated:
-            ending = self.store.fitting(request.ending)
+        has_run_result = record is not None and record.run_result is not None
+        if not has_run_result:
+            run_result = self.store.bound_run_result(request.run_result)
             self.put(
                 attempt.key,
                 ClaimRecord(
                     request_digest=attempt.request_digest,
                     vm=attempt.vm,
                     attempt=attempt.number,
-                    ending=ending,
+                    run_result=run_result,
                 ),
             )
         return self.answer(Verdict.done)
 
     def put(self, key: ClaimKey, record: ClaimRecord) -> None:
-        """Record a key and have it written to the journal."""
+        """Store a key's record and queue it for the journal."""
         self.store.put(key, record)
-        self.changes.append(ClaimChanged(key, record))
+        self.pending_changes.append(ClaimChanged(key, record))
--- a/godwitshunt/claims/holder_journal.py
+++ b/godwitshunt/claims/holder_journal.py
@@ -1,4 +1,4 @@
-"""Keeps a process's holders in its claim journal."""
+"""Persistence of a process's holders in its claim journal."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -21,113 +21,119 @@
 
 @dataclass
 class HolderJournal:
-    """A journal, and which of its segments are still needed.
+    """Writes holders to a journal and tracks which segments are needed.
 
     Parameters
     ----------
-    begun_epochs : dict
-        The epochs when the present segment began; a later one begins the
-        next segment, so that old claims go with whole segments.
+    segment_start_epochs : dict
+        The epochs when the current segment was started. A new epoch starts
+        the next segment, so that whole segments of old claims can be deleted.
     """
 
     journal: ClaimJournal
     metrics: Metrics
     segments: SegmentEpochs = field(default_factory=SegmentEpochs)
-    begun_epochs: dict[GenerationId, int] = field(default_factory=dict)
+    segment_start_epochs: dict[GenerationId, int] = field(default_factory=dict)
 
-    def reload(self, table: HolderTable, now_s: float) -> None:
-        """Rebuild a table from the journal and begin a segment.
+    def restore(self, table: HolderTable, now_s: float) -> None:
+        """Restore a table from the journal and start a new segment.
 
         Raises
         ------
         StorageError
-            Where the data folder cannot be used.
+            If the data folder cannot be used.
         """
         records = self.read_records()
-        table.reload(records, now_s)
-        # Which segment a record came from is not kept: all count as the last
-        # one that was read, and go with it.
+        table.restore(records, now_s)
+        # The segment of each restored record is not tracked: all of them are
+        # attributed to the last segment read and are deleted with it.
         for record in records:
-            self.segments.note(self.journal.segments[-1], record)
+            self.segments.add(self.journal.segments[-1], record)
         self.begin_segment(table)
 
     def read_records(self) -> tuple[GenerationChange, ...]:
-        """Return the journal's records; none where it is lost."""
+        """Return the journal's records, or none if the journal is lost."""
         outcome = self.journal.load()
         if isinstance(outcome, Err):
-            self.note_lost(outcome.err_value.reason)
+            self.record_loss(outcome.err_value.reason)
             return ()
         try:
-            return tuple(parse_record(body) for body in outcome.ok_value)
+            return tuple(decode_change(body) for body in outcome.ok_value)
         except FrameError as malformed:
             self.journal.set_aside()
-            self.note_lost(malformed.reason)
+            self.record_loss(malformed.reason)
             return ()
 
-    def note_lost(self, reason: str) -> None:
-        """Count and log that what was recorded is gone."""
+    def record_loss(self, reason: str) -> None:
+        """Count and log the loss of the journal."""
         self.metrics.count('claims_journal_lost_total')
         log_change('claims:journal_lost', reason=reason)
 
     def begin_segment(self, table: HolderTable) -> None:
-        """Begin a segment with the holders' standings."""
-        standings = tuple(table.standings())
-        self.journal.begin_segment(
-            record_body(standing) for standing in standings
+        """Start a segment with the holders' statuses."""
+        statuses = tuple(table.statuses())
+        self.journal.begin_segment(encode_change(status) for status in statuses)
+        self.segments.highest_epochs.setdefault(
+            self.journal.current_segment, {}
         )
-        self.segments.highest.setdefault(self.journal.number, {})
-        self.begun_epochs = table.epochs()
+        self.segment_start_epochs = table.current_epochs()
 
     def write(self, changes: Iterable[GenerationChange]) -> bool:
-        """Append changes; False where the disk refuses."""
+        """Append changes; return False if the disk fails."""
         try:
             for change in changes:
-                self.journal.append(record_body(change))
-                self.segments.note(self.journal.number, change)
-        except StorageError as failed:
-            self.note_failed(failed)
+                self.journal.append(encode_change(change))
+                self.segments.add(self.journal.current_segment, change)
+        except StorageError as failure:
+            self.record_failure(failure)
             return False
-        return self.journal.failed is None
+        return self.journal.failure is None
 
     async def sync(self) -> bool:
-        """Wait until what was written lasts; False where it does not."""
+        """Sync what was written; return False if the disk fails."""
         try:
             await self.journal.sync()
-        except StorageError as failed:
-            self.note_failed(failed)
+        except StorageError as failure:
+            self.record_failure(failure)
             return False
         return True
 
-    def note_failed(self, failed: StorageError) -> None:
-        """Count a refusal of the disk."""
+    def record_failure(self, failure: StorageError) -> None:
+        """Count and log a disk failure."""
         self.metrics.count('claims_journal_failed_total')
-        log_change('claims:journal_failed', reason=failed.reason)
+        log_change('claims:journal_failed', reason=failure.reason)
 
     def rotate(self, table: HolderTable) -> None:
-        """Begin a segment for a new epoch, and delete what is over."""
-        if self.journal.failed or not self.journal.can_begin():
+        """Start a segment for a new epoch and delete expired segments."""
+        if self.journal.failure or not self.journal.can_begin_segment():
             return
         try:
-            self.try_rotate(table)
-        except StorageError as failed:
-            self.note_failed(failed)
+            self.rotate_segments(table)
+        except StorageError as failure:
+            self.record_failure(failure)
 
-    def try_rotate(self, table: HolderTable) -> None:
-        """Rotate on a disk that takes writes."""
-        if table.epochs() != self.begun_epochs:
+    def rotate_segments(self, table: HolderTable) -> None:
+        """Rotate the segments; a disk failure raises `StorageError`."""
+        if table.current_epochs() != self.segment_start_epochs:
             self.begin_segment(table)
-        needed = self.segments.first_needed(table)
-        self.journal.drop_before(needed)
-        self.segments.forget_before(needed)
+        first_needed = self.segments.first_needed_segment(table)
+        self.journal.delete_before(first_needed)
+        self.segments.remove_before(first_needed)
 
 
-def record_body(record: GenerationChange) -> bytes:
-    """Return the bytes of a journal record."""
+def encode_change(record: GenerationChange) -> bytes:
+    """Encode a change as a journal record."""
     return encode(change_to_wire(*record.generation, record.change))
 
 
-def parse_record(body: bytes) -> GenerationChange:
-    """Read a journal record."""
+def decode_change(body: bytes) -> GenerationChange:
+    """Decode a journal record.
+
+    Raises
+    ------
+    FrameError
+        If the record is malformed.
+    """
     wire = decode(ttypes.JournalRecord, body)
     generation = (wire.region, wire.generation)
     return GenerationChange(generation, change_from_wire(wire))
--- a/godwitshunt/claims/holder_peers.py
+++ b/godwitshunt/claims/holder_peers.py
@@ -1,4 +1,4 @@
-"""What holders of one generation tell each other: epochs and restarts."""
+"""Messages between the holders of a generation: epochs and recovery."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,15 +7,15 @@
 
 from godwitshunt.claims.gen.wire import ttypes
 from godwitshunt.claims.holder import Holder
+from godwitshunt.claims.holder_status import HolderStatus
 from godwitshunt.claims.holder_table import GenerationId, HolderTable
 from godwitshunt.claims.recovery import (
+    AnnounceIncarnation,
     Recovered,
     Recovery,
     RecoveryStep,
-    TellIncarnation,
 )
-from godwitshunt.claims.standing import Standing
-from godwitshunt.claims.wire import standing_from_wire, standing_to_wire
+from godwitshunt.claims.wire import status_from_wire, status_to_wire
 from godwitshunt.configuration.revision import HolderSet
 from godwitshunt.exceptions import FrameError
 from godwitshunt.membership.jobs import Jobs
@@ -28,15 +28,15 @@
 
 
 class HolderPeers:
-    """Exchanges epochs, and brings holders that forgot back to voting.
+    """Exchanges epochs with peers and recovers holders that lost votes.
 
     Parameters
     ----------
     table : HolderTable
-        The process's holders.
+        The holders of this process.
     make_durable : callable
-        Waits until what the holders changed is in the journal; its result is
-        False where the disk refuses.
+        Waits until the changes of the holders are in the journal. Returns
+        False if the disk fails.
     """
 
     def __init__(
@@ -55,131 +55,139 @@
         self.metrics = metrics
         self.addresses: dict[str, Address] = {}
         self.jobs = Jobs()
-        self.recoveries: set[GenerationId] = set()
+        self.active_recoveries: set[GenerationId] = set()
 
     def start(self) -> None:
-        """Answer fellow holders and VMs that ask for epochs."""
-        self.links.subscribe(MessageKind.claim_epoch, self.answer)
-        self.links.subscribe(MessageKind.claim_recovery, self.answer)
+        """Start to answer epoch queries and recovering peers."""
+        self.links.subscribe(MessageKind.claim_epoch, self.handle_call)
+        self.links.subscribe(MessageKind.claim_recovery, self.handle_call)
 
     async def close(self) -> None:
-        """End the questions under way."""
+        """Cancel pending queries and recoveries."""
         await self.jobs.close()
 
-    async def answer(self, sender: str, body: bytes) -> bytes | None:
-        """Answer a VM that asks for the epoch, or a holder that recovers."""
+    async def handle_call(self, sender: str, body: bytes) -> bytes | None:
+        """Answer a VM that queries the epoch, or a holder that recovers."""
         call = decode(ttypes.HolderCall, body)
         holder = self.table.holders.get((call.region, call.generation))
         if holder is None:
             return None
-        standing = holder.answer_peer(
+        status = holder.answer_peer(
             sender,
             call.incarnation or 0,
             call.epoch or 0,
             self.timer.now(),
         )
-        if standing is None or not await self.make_durable():
+        if status is None or not await self.make_durable():
             return None
-        return encode(ttypes.HolderReply(standing_to_wire(standing)))
+        return encode(ttypes.HolderReply(status_to_wire(status)))
 
     def exchange_epochs(self) -> None:
-        """Tell fellow holders this one's epoch, and hear theirs.
+        """Exchange epochs with the peers of each region's newest holder set.
 
-        Only in the newest set of each region: no keys are stamped under an
-        earlier one, and its holders drop their claims by their own clocks.
+        Earlier sets need no exchange: no new keys are stamped under them, and
+        their holders drop claims by their own clocks.
         """
-        newest = dict(sorted(self.table.sets))
+        newest = dict(sorted(self.table.holder_sets))
         for generation in newest.items():
             holder = self.table.holders[generation]
-            for peer in self.fellows(self.table.sets[generation]):
-                self.jobs.run(self.ask_epoch(generation, holder, peer))
+            for peer in self.reachable_peers(
+                self.table.holder_sets[generation]
+            ):
+                self.jobs.run(self.exchange_epoch(generation, holder, peer))
 
-    async def ask_epoch(
+    async def exchange_epoch(
         self,
         generation: GenerationId,
         holder: Holder,
         peer: str,
     ) -> None:
-        """Exchange epochs with one fellow holder."""
+        """Exchange epochs with one peer."""
         epoch = 0 if holder.recovering else holder.epoch
-        standing = await self.ask_holder(
+        status = await self.query_holder(
             MessageKind.claim_epoch,
             generation,
             peer,
             ttypes.HolderCall(*generation, epoch=epoch),
         )
-        if standing is not None:
-            holder.adopt(standing.epoch, self.timer.now())
+        if status is not None:
+            holder.advance_epoch(status.epoch, self.timer.now())
 
-    def fellows(self, holder_set: HolderSet) -> list[str]:
-        """Return the other holders of a set that can be reached."""
+    def reachable_peers(self, holder_set: HolderSet) -> list[str]:
+        """Return the other holders of a set whose address is known."""
         return [
             name
             for name in holder_set.names
             if name != self.name and name in self.addresses
         ]
 
-    def recover_all(self) -> None:
-        """Begin the recovery of each generation that needs it."""
-        waiting = self.table.recovering()
-        self.metrics.gauge('claims_recovering_generations', len(waiting))
-        for generation in waiting:
-            if generation not in self.recoveries:
-                self.recoveries.add(generation)
+    def start_recoveries(self) -> None:
+        """Start the recovery of each generation that needs one."""
+        recovering = self.table.recovering_generations()
+        self.metrics.gauge('claims_recovering_generations', len(recovering))
+        for generation in recovering:
+            if generation not in self.active_recoveries:
+                self.active_recoveries.add(generation)
                 self.jobs.run(self.recover(generation))
 
     async def recover(self, generation: GenerationId) -> None:
-        """Try once to recover one generation; the next tick tries again."""
+        """Try once to recover a generation; the next tick retries."""
         try:
-            await self.try_recover(generation)
+            await self.run_recovery(generation)
         finally:
-            self.recoveries.discard(generation)
+            self.active_recoveries.discard(generation)
 
-    async def try_recover(self, generation: GenerationId) -> None:
-        """Ask, tell, and vote again where enough fellow holders answered."""
-        holder_set = self.table.sets[generation]
+    async def run_recovery(self, generation: GenerationId) -> None:
+        """Query peers, announce the incarnation, and resume voting.
+
+        Voting resumes only if enough peers replied in both rounds.
+        """
+        holder_set = self.table.holder_sets[generation]
         recovery = Recovery(self.name, holder_set.names)
-        step = await self.ask_all(generation, recovery)
-        if isinstance(step, TellIncarnation):
-            step = await self.ask_all(generation, recovery)
+        step = await self.query_peers(generation, recovery)
+        if isinstance(step, AnnounceIncarnation):
+            step = await self.query_peers(generation, recovery)
         holder = self.table.holders.get(generation)
         if isinstance(step, Recovered) and holder is not None:
             holder.recover(step, self.timer.now())
             await self.make_durable()
-            log_change('claims:holder_recovered', floor_epoch=step.floor)
+            log_change('claims:holder_recovered', floor_epoch=step.floor_epoch)
             self.exchange_epochs()
 
-    async def ask_all(
+    async def query_peers(
         self,
         generation: GenerationId,
         recovery: Recovery,
     ) -> RecoveryStep:
-        """Ask every fellow holder; return the step that the replies allow."""
+        """Query every peer; return the next step of the recovery."""
         call = ttypes.HolderCall(
             *generation,
             epoch=0,
             incarnation=recovery.incarnation,
         )
         kind = MessageKind.claim_recovery
-        peers = self.fellows(self.table.sets[generation])
-        standings = await asyncio.gather(
-            *(self.ask_holder(kind, generation, peer, call) for peer in peers),
+        peers = self.reachable_peers(self.table.holder_sets[generation])
+        statuses = await asyncio.gather(
+            *(
+                self.query_holder(kind, generation, peer, call)
+                for peer in peers
+            ),
         )
         replies = {
-            peer: standing
-            for peer, standing in zip(peers, standings, strict=True)
-            if standing is not None
+            peer: status
+            for peer, status in zip(peers, statuses, strict=True)
+            if status is not None
         }
-        return recovery.take_round(replies)
+        return recovery.process_replies(replies)
 
-    async def ask_holder(
+    async def query_holder(
         self,
         kind: MessageKind,
         generation: GenerationId,
         peer: str,
         call: ttypes.HolderCall,
-    ) -> Standing | None:
-        """Return a fellow holder's standing, if it answers."""
+    ) -> HolderStatus | None:
+        """Return a peer's status, or None without a valid reply."""
         address = self.addresses.get(peer)
         if address is None:
             return None
@@ -193,7 +201,7 @@
             return None
         try:
             wire = decode(ttypes.HolderReply, reply.ok_value)
-            return standing_from_wire(wire.standing)
+            return status_from_wire(wire.standing)
         except FrameError:
             self.metrics.count('claims_replies_malformed_total')
             return None
--- a/godwitshunt/claims/holder_table.py
+++ b/godwitshunt/claims/holder_table.py
@@ -1,4 +1,4 @@
-"""All generations that one process is a holder in, and what it reloads."""
+"""All holders of one process, by region and generation."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
     ClaimChanged,
     Holder,
     HolderChange,
-    StandingChanged,
+    HolderStatusChanged,
 )
 from godwitshunt.configuration.revision import HolderSet
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class GenerationChange:
-    """A change of one generation, for the journal."""
+    """A journal entry: a change and the generation that it belongs to."""
 
     generation: GenerationId
     change: HolderChange
@@ -29,119 +29,128 @@
     Parameters
     ----------
     name : str
-        The process's VM.
+        Name of the process's VM.
     session : str
-        Drawn at the process's start.
-    sets : dict
-        The committed holder sets that name this VM.
-    reloaded : dict
-        What the journal had of generations that no revision named yet.
+        Random id of this process.
+    holder_sets : dict
+        The committed holder sets that include this VM.
+    restored : dict
+        Holders restored from the journal whose generation no revision has
+        listed yet.
     """
 
     name: str
     session: str
     holders: dict[GenerationId, Holder] = field(default_factory=dict)
-    sets: dict[GenerationId, HolderSet] = field(default_factory=dict)
-    reloaded: dict[GenerationId, Holder] = field(default_factory=dict)
+    holder_sets: dict[GenerationId, HolderSet] = field(default_factory=dict)
+    restored: dict[GenerationId, Holder] = field(default_factory=dict)
 
-    def reload(self, records: Iterable[GenerationChange], now_s: float) -> None:
-        """Rebuild holders from what an intact journal had."""
+    def restore(
+        self, records: Iterable[GenerationChange], now_s: float
+    ) -> None:
+        """Restore holders from the records of an intact journal."""
         for record in records:
-            holder = self.reloaded.setdefault(
+            holder = self.restored.setdefault(
                 record.generation,
                 Holder(self.name, recovering=True, epoch_began_s=now_s),
             )
-            reload_change(holder, record.change)
-        for holder in self.reloaded.values():
-            # When earlier epochs ended is not known any more: their claims
-            # are kept for a whole further epoch.
-            if holder.epoch > holder.floor:
-                holder.ended.append((holder.epoch - 1, now_s))
-
-    def apply_sets(self, sets: Iterable[HolderSet], now_s: float) -> None:
-        """Follow the committed holder sets."""
-        named = {
-            (one.region, one.generation): one
-            for one in sets
-            if self.name in one.names
+            restore_change(holder, record.change)
+        for holder in self.restored.values():
+            # The journal does not say when earlier epochs ended: their
+            # claims are retained for one more whole epoch.
+            if holder.epoch > holder.floor_epoch:
+                holder.ended_epochs.append((holder.epoch - 1, now_s))
+
+    def apply_holder_sets(
+        self, holder_sets: Iterable[HolderSet], now_s: float
+    ) -> None:
+        """Apply the committed holder sets."""
+        own_sets = {
+            (candidate.region, candidate.generation): candidate
+            for candidate in holder_sets
+            if self.name in candidate.names
         }
-        self.sets = named
-        for gone in set(self.holders) - set(named):
-            self.holders.pop(gone)
-        self.forget_reloaded()
-        for generation, holder_set in named.items():
+        self.holder_sets = own_sets
+        for removed in set(self.holders) - set(own_sets):
+            self.holders.pop(removed)
+        self.discard_obsolete()
+        for generation, holder_set in own_sets.items():
             if generation not in self.holders:
-                holder = self.make(generation, holder_set, now_s)
+                holder = self.create_holder(generation, holder_set, now_s)
                 self.holders[generation] = holder
 
-    def forget_reloaded(self) -> None:
-        """Drop generations that are older than any committed one."""
+    def discard_obsolete(self) -> None:
+        """Discard restored generations older than the committed ones."""
         oldest: dict[str, int] = {}
-        for region, number in sorted(self.sets):
+        for region, number in sorted(self.holder_sets):
             oldest.setdefault(region, number)
-        self.reloaded = {
+        self.restored = {
             generation: holder
-            for generation, holder in self.reloaded.items()
+            for generation, holder in self.restored.items()
             if generation[1] >= oldest.get(generation[0], 0)
         }
 
-    def floors(self) -> dict[GenerationId, int]:
-        """Return the floor of every generation that still counts."""
+    def floor_epochs(self) -> dict[GenerationId, int]:
+        """Return the floor epoch of every generation in use."""
         return {
-            generation: holder.floor
-            for generation, holder in (self.holders | self.reloaded).items()
+            generation: holder.floor_epoch
+            for generation, holder in (self.holders | self.restored).items()
         }
 
-    def epochs(self) -> dict[GenerationId, int]:
-        """Return the present epoch of every generation."""
+    def current_epochs(self) -> dict[GenerationId, int]:
+        """Return the current epoch of every generation."""
         return {
             generation: holder.epoch
             for generation, holder in self.holders.items()
         }
 
-    def make(
+    def create_holder(
         self,
         generation: GenerationId,
         holder_set: HolderSet,
         now_s: float,
     ) -> Holder:
-        """Return a holder as reloaded, as new, or as one that forgot."""
-        reloaded = self.reloaded.pop(generation, None)
-        if reloaded is not None:
-            return reloaded
-        listed = dict(zip(holder_set.names, holder_set.sessions, strict=False))
-        # Only the process that was running when the set was committed knows
-        # that no earlier one has voted in it. Any other that took itself for
-        # new would grant again what its VM granted before a restart.
-        is_first = listed.get(self.name) == self.session
+        """Return a restored holder, a new one, or one that must recover."""
+        restored = self.restored.pop(generation, None)
+        if restored is not None:
+            return restored
+        committed_sessions = dict(
+            zip(holder_set.names, holder_set.sessions, strict=False)
+        )
+        # Only the process that was running when the set was committed can be
+        # sure that no earlier process of its VM voted in it. Any other one
+        # could grant again what its VM granted before a restart.
+        is_original_process = committed_sessions.get(self.name) == self.session
         holder = Holder(
             self.name,
-            recovering=not is_first,
+            recovering=not is_original_process,
             epoch_began_s=now_s,
         )
-        if is_first:
-            holder.note_standing()
+        if is_original_process:
+            holder.record_status()
         return holder
 
     def tick(self, now_s: float) -> None:
-        """Advance epochs and drop what is below the floors."""
+        """Advance epochs and drop claims below the floor epochs."""
         for holder in self.holders.values():
             holder.tick(now_s)
 
     def drain_changes(self) -> Iterator[GenerationChange]:
-        """Yield what the journal does not have yet."""
+        """Yield and clear the changes not yet in the journal."""
         for generation, holder in self.holders.items():
             for change in holder.drain_changes():
                 yield GenerationChange(generation, change)
 
-    def standings(self) -> Iterator[GenerationChange]:
-        """Yield what each journal segment begins with."""
-        for generation, holder in (self.holders | self.reloaded).items():
+    def statuses(self) -> Iterator[GenerationChange]:
+        """Yield the statuses with which each journal segment starts."""
+        for generation, holder in (self.holders | self.restored).items():
             if not holder.recovering:
-                standing = StandingChanged(holder.standing(), holder.floor)
-                yield GenerationChange(generation, standing)
+                status = HolderStatusChanged(
+                    holder.status(), holder.floor_epoch
+                )
+                yield GenerationChange(generation, status)
 
-    def recovering(self) -> tuple[GenerationId, ...]:
+    def recovering_generations(self) -> tuple[GenerationId, ...]:
         """Return the generations in which this process abstains."""
         return tuple(
             generation
@@ -150,16 +159,16 @@
         )
 
 
-def reload_change(holder: Holder, change: HolderChange) -> None:
-    """Apply one journal record."""
+def restore_change(holder: Holder, change: HolderChange) -> None:
+    """Apply one journal record to a holder."""
     match change:
-        case StandingChanged(standing, floor):
+        case HolderStatusChanged(status, floor_epoch):
             holder.recovering = False
-            holder.incarnation = standing.incarnation
-            holder.known = dict(standing.known)
-            holder.epoch = standing.epoch
-            holder.floor = floor
-            holder.store.drop_below(floor)
+            holder.incarnation = status.incarnation
+            holder.known_incarnations = dict(status.known_incarnations)
+            holder.epoch = status.epoch
+            holder.floor_epoch = floor_epoch
+            holder.store.drop_below(floor_epoch)
         case ClaimChanged(key, record):
-            if key.epoch >= holder.floor:
+            if key.epoch >= holder.floor_epoch:
                 holder.store.put(key, record)
--- a/godwitshunt/claims/holder_task.py
+++ b/godwitshunt/claims/holder_task.py
@@ -1,4 +1,4 @@
-"""The task of a claim holder: answers claimants, keeps the journal."""
+"""Task of a claim holder: answers claimants and writes the journal."""
 
 import functools
 from pathlib import Path
@@ -21,8 +21,8 @@
 )
 from godwitshunt.claims.wire import (
     attempt_from_wire,
-    ending_from_wire,
     holder_answer_to_wire,
+    run_result_from_wire,
 )
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.exceptions import FrameError
@@ -31,9 +31,9 @@
 from godwitshunt.telemetry import Metrics
 from godwitshunt.timer import Subscription, Timer
 
-TICK_S = 1.0
-EPOCH_EXCHANGE_S = 5.0
-KINDS = MappingProxyType(
+TICK_INTERVAL_S = 1.0
+EPOCH_EXCHANGE_INTERVAL_S = 5.0
+MESSAGE_KINDS = MappingProxyType(
     {
         Claim: MessageKind.claim_request,
         Query: MessageKind.claim_query,
@@ -44,16 +44,16 @@
 
 
 class ClaimHolderTask:
-    """Votes on claims for the generations that name this VM.
+    """Votes on claims of the generations that include this VM.
 
     Parameters
     ----------
     name : str
         The VM's name, as in holder sets.
     session : str
-        Drawn at the process's start.
+        Random id of this process.
     data_folder : Path or None
-        None where the VM has no disk.
+        None if the VM has no disk.
     """
 
     def __init__(
@@ -93,29 +93,31 @@
         timer: Timer,
         metrics: Metrics,
     ) -> Self:
-        """Make the task, with a journal where there is a data folder."""
+        """Create the task, with a journal if there is a data folder."""
         return cls(name, session, data_folder, links, timer, metrics)
 
     async def start(self) -> None:
-        """Read the journal and take requests.
+        """Read the journal and start to answer requests.
 
         Raises
         ------
         StorageError
-            Where the data folder cannot be used.
+            If the data folder cannot be used.
         """
         if self.journal is not None:
-            self.journal.reload(self.table, self.timer.now())
-        for kind in KINDS.values():
-            self.links.subscribe(kind, self.handler(kind))
+            self.journal.restore(self.table, self.timer.now())
+        for kind in MESSAGE_KINDS.values():
+            self.links.subscribe(kind, self.make_handler(kind))
         self.peers.start()
         self.subscriptions = [
-            self.timer.every(TICK_S, self.tick),
-            self.timer.every(EPOCH_EXCHANGE_S, self.peers.exchange_epochs),
+            self.timer.every(TICK_INTERVAL_S, self.tick),
+            self.timer.every(
+                EPOCH_EXCHANGE_INTERVAL_S, self.peers.exchange_epochs
+            ),
         ]
 
     async def close(self) -> None:
-        """Take no more requests and close the journal."""
+        """Stop the periodic work and close the journal."""
         for subscription in self.subscriptions:
             subscription.cancel()
         await self.peers.close()
@@ -123,23 +125,23 @@
             await self.journal.journal.close()
 
     def apply_revision(self, revision: Revision) -> None:
-        """Follow the committed holder sets."""
+        """Apply the committed holder sets."""
         self.peers.addresses = {vm.name: vm.peer for vm in revision.vms}
-        self.table.apply_sets(revision.holders, self.timer.now())
+        self.table.apply_holder_sets(revision.holders, self.timer.now())
         self.write_changes()
-        self.peers.recover_all()
+        self.peers.start_recoveries()
 
-    def handler(self, kind: MessageKind) -> PeerHandler:
-        """Return the handler of one kind of claimant's request."""
-        return functools.partial(self.take_call, kind)
+    def make_handler(self, kind: MessageKind) -> PeerHandler:
+        """Return the handler for one kind of claimant's request."""
+        return functools.partial(self.handle_call, kind)
 
-    async def take_call(
+    async def handle_call(
         self,
         kind: MessageKind,
         sender: str,
         body: bytes,
     ) -> bytes:
-        """Answer one claimant's request."""
+        """Answer a claimant's request from the wire."""
         call = decode(ttypes.ClaimCall, body)
         request = request_from_wire(kind, call)
         answer = await self.answer(request, call.epoch)
@@ -150,7 +152,7 @@
         request: HolderRequest,
         epoch: int,
     ) -> HolderAnswer:
-        """Answer a claimant once the answer is in the journal."""
+        """Answer a claimant once the change is in the journal."""
         key = request.attempt.key
         holder = self.table.holders.get((key.region, key.generation))
         if holder is None:
@@ -162,21 +164,21 @@
         return answer
 
     async def make_durable(self) -> bool:
-        """Write and sync what has changed; False where the disk refuses."""
+        """Write and sync pending changes; return False if the disk fails."""
         if not self.write_changes():
             return False
         return self.journal is None or await self.journal.sync()
 
     def write_changes(self) -> bool:
-        """Append what has changed to the journal, if there is one."""
+        """Append pending changes to the journal, if there is one."""
         changes = tuple(self.table.drain_changes())
         return self.journal is None or self.journal.write(changes)
 
     def tick(self) -> None:
-        """Advance epochs, drop old claims and the segments that held them."""
+        """Advance epochs, drop expired claims, and rotate the journal."""
         self.table.tick(self.timer.now())
         self.write_changes()
-        self.peers.recover_all()
+        self.peers.start_recoveries()
         if self.journal is not None:
             self.journal.rotate(self.table)
 
@@ -185,12 +187,12 @@
     kind: MessageKind,
     call: ttypes.ClaimCall,
 ) -> HolderRequest:
-    """Read a claimant's request.
+    """Decode a claimant's request.
 
     Raises
     ------
     FrameError
-        Where a field is missing or malformed.
+        If a field is missing or malformed.
     """
     attempt = attempt_from_wire(call)
     match kind:
@@ -200,7 +202,7 @@
             return Query(attempt)
         case MessageKind.claim_release:
             return Release(attempt)
-    ending = ending_from_wire(call.answer, call.unknown)
-    if ending is None:
-        raise FrameError('ClaimCall: a finish without an ending')
-    return Finish(attempt, ending)
+    run_result = run_result_from_wire(call.answer, call.unknown)
+    if run_result is None:
+        raise FrameError('ClaimCall: a finish without answer or unknown')
+    return Finish(attempt, run_result)
--- a/godwitshunt/claims/keys.py
+++ b/godwitshunt/claims/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: a stamp of the directory, then the caller's own part."""
+"""Idempotency keys: a key stamp from the directory and the caller's part."""
 
 import re
 from dataclasses import dataclass
@@ -17,18 +17,18 @@
 
 @dataclass(frozen=True)
 class ClaimKey:
-    """An idempotency key, taken apart.
+    """A parsed idempotency key.
 
     Parameters
     ----------
     region : str
-        The region whose holders decide on it.
+        The region whose holders decide on the key.
     generation : int
-        The committed holder set that it is bound to for ever.
+        The committed holder set that the key is permanently bound to.
     epoch : int
-        The epoch of those holders in which it was stamped.
+        The epoch of those holders when the stamp was issued.
     text : str
-        The whole key, which is its identity.
+        The complete key, which identifies the call.
     """
 
     region: str
@@ -38,7 +38,7 @@
 
 
 def parse_key(text: str) -> Result[ClaimKey, KeyMalformed]:
-    """Take a key apart.
+    """Parse an idempotency key.
 
     Examples
     --------
@@ -61,7 +61,7 @@
 
 
 def make_stamp(region: str, generation: int, epoch: int) -> str:
-    """Return what the directory gives callers to begin their keys with.
+    """Return a key stamp: the prefix that callers put before their part.
 
     Examples
     --------
--- a/godwitshunt/claims/messages.py
+++ b/godwitshunt/claims/messages.py
@@ -1,11 +1,11 @@
-"""Claims on idempotency keys, and what a claim comes back with."""
+"""Outcomes of a claim on an idempotency key."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class StoredAnswer:
-    """The whole answer of a call that ran, kept for resends of its key."""
+    """The complete answer to a call that ran, stored for resends of its key."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -14,28 +14,28 @@
 
 @dataclass(frozen=True)
 class Granted:
-    """A majority of holders recorded the claim: the call may run, once."""
+    """A majority of holders recorded the claim: the call may run once."""
 
     attempt: int
 
 
 @dataclass(frozen=True)
 class AlreadyAnswered:
-    """The call ran and its answer was kept."""
+    """The call ran and its answer is stored."""
 
     answer: StoredAnswer
 
 
 @dataclass(frozen=True)
 class InProgress:
-    """Another attempt under the key is running now.
+    """Another attempt under the key is running.
 
     Parameters
     ----------
     vm : str
-        The entry VM that runs it.
+        The VM that runs the attempt.
     unresponsive : bool
-        True where that VM does not answer: waiting on may be in vain.
+        True if that VM does not reply, so that waiting longer may not help.
     """
 
     vm: str
@@ -44,32 +44,39 @@
 
 @dataclass(frozen=True)
 class RunUnknown:
-    """An attempt may have run and no answer is kept; it never runs again."""
+    """An attempt may have run and no answer is stored; no other may run."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class KeyExpired:
-    """The key's epoch is over and its claims are gone."""
+    """The key's epoch has expired and its claims have been dropped."""
 
 
 @dataclass(frozen=True)
 class KeyMalformed:
-    """The key bears no stamp that the directory gave out."""
+    """The key does not start with a well-formed key stamp."""
 
 
 @dataclass(frozen=True)
 class KeyReused:
-    """The key was used before with another request."""
+    """The key was already used with a different request."""
 
 
 @dataclass(frozen=True)
 class NoMajority:
-    """Too few holders answered; this attempt runs nothing.
+    """Too few holders answered; this attempt does not run.
 
-    Another VM's attempt under the same key may have run, so the outcome that
-    the caller is told is unknown.
+    An attempt of another VM under the same key may have run, so the outcome
+    reported to the caller is unknown.
+
+    Parameters
+    ----------
+    answered : int
+        Holders that answered without abstaining.
+    needed : int
+        Size of a majority.
     """
 
     answered: int
--- a/godwitshunt/claims/records.py
+++ b/godwitshunt/claims/records.py
@@ -1,4 +1,4 @@
-"""What a holder keeps of each key, bounded."""
+"""Bounded store of a holder's claim records."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -7,92 +7,91 @@
 from godwitshunt.claims.messages import RunUnknown, StoredAnswer
 
 MAX_CLAIMS = 65536
-# Answers beyond these are noted as *ran, answer not kept*.
+# Calls with answers beyond these limits are recorded as run, without answer.
 MAX_ANSWER_BYTES = 65536
 MAX_ANSWERS_BYTES = 24 * 1024 * 1024
-# Attempts of one key that are remembered as withdrawn. A late message of an
-# older one may block its key, and never lets it run.
+# Withdrawn attempts retained per key. A late claim of an earlier attempt may
+# block its key but never lets the call run.
 MAX_WITHDRAWN = 8
-NOT_KEPT = 'the answer was too large to keep'
+ANSWER_NOT_STORED = 'the answer was too large to keep'
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """One key's record.
+    """The record of one key.
 
     Parameters
     ----------
     attempt : int
-        0 where the key is free.
-    ending : StoredAnswer, RunUnknown or None
-        None while the attempt may be running.
+        Number of the recorded attempt; 0 if the key is free.
+    run_result : StoredAnswer, RunUnknown or None
+        None while the attempt may still run.
     withdrawn : tuple of int
-        Attempts that must not be recorded any more, though their claim may
-        still arrive.
+        Attempts that must not be recorded even if their claim still arrives.
     """
 
     request_digest: bytes
     vm: str
     attempt: int
-    ending: StoredAnswer | RunUnknown | None = None
+    run_result: StoredAnswer | RunUnknown | None = None
     withdrawn: tuple[int, ...] = ()
 
 
-def answer_bytes(ending: StoredAnswer | RunUnknown | None) -> int:
-    """Return the bytes of an answer's body and headers."""
-    if not isinstance(ending, StoredAnswer):
+def answer_bytes(run_result: StoredAnswer | RunUnknown | None) -> int:
+    """Return the size of a stored answer's body and headers in bytes."""
+    if not isinstance(run_result, StoredAnswer):
         return 0
-    headers = sum(len(name) + len(text) for name, text in ending.headers)
-    return len(ending.body) + headers
+    headers = sum(len(name) + len(text) for name, text in run_result.headers)
+    return len(run_result.body) + headers
 
 
 @dataclass
 class ClaimStore:
-    """Records by epoch, so that an epoch is dropped in one step."""
+    """Claim records by epoch, so that an epoch is dropped in one step."""
 
-    epochs: dict[int, dict[str, ClaimRecord]] = field(
+    records_by_epoch: dict[int, dict[str, ClaimRecord]] = field(
         default_factory=lambda: defaultdict(dict),
     )
     count: int = 0
     answers_bytes: int = 0
 
     def find(self, key: ClaimKey) -> ClaimRecord | None:
-        """Return a key's record."""
-        return self.epochs[key.epoch].get(key.text)
+        """Return a key's record, or None."""
+        return self.records_by_epoch[key.epoch].get(key.text)
 
     def is_full(self) -> bool:
-        """Return whether no further key is recorded."""
+        """Return whether no further key can be recorded."""
         return self.count >= MAX_CLAIMS
 
     def put(self, key: ClaimKey, record: ClaimRecord) -> None:
-        """Record a key, in place of its earlier record."""
-        records = self.epochs[key.epoch]
+        """Store a key's record in place of an earlier one."""
+        records = self.records_by_epoch[key.epoch]
         earlier = records.get(key.text)
         if earlier is None:
             self.count += 1
         else:
-            self.answers_bytes -= answer_bytes(earlier.ending)
+            self.answers_bytes -= answer_bytes(earlier.run_result)
         records[key.text] = record
-        self.answers_bytes += answer_bytes(record.ending)
+        self.answers_bytes += answer_bytes(record.run_result)
 
-    def fitting(
-        self, ending: StoredAnswer | RunUnknown
+    def bound_run_result(
+        self, run_result: StoredAnswer | RunUnknown
     ) -> StoredAnswer | RunUnknown:
-        """Return an ending as it is kept."""
-        size = answer_bytes(ending)
+        """Return a run result, without its answer if that is too large."""
+        size = answer_bytes(run_result)
         if size > MAX_ANSWER_BYTES:
-            return RunUnknown(NOT_KEPT)
+            return RunUnknown(ANSWER_NOT_STORED)
         if self.answers_bytes + size > MAX_ANSWERS_BYTES:
-            return RunUnknown(NOT_KEPT)
-        return ending
+            return RunUnknown(ANSWER_NOT_STORED)
+        return run_result
 
-    def drop_below(self, floor: int) -> bool:
-        """Drop the records of older epochs; return whether any were there."""
-        old = [epoch for epoch in self.epochs if epoch < floor]
+    def drop_below(self, floor_epoch: int) -> bool:
+        """Drop records of epochs below a floor; return whether any existed."""
+        old = [epoch for epoch in self.records_by_epoch if epoch < floor_epoch]
         for epoch in old:
-            records = self.epochs.pop(epoch)
+            records = self.records_by_epoch.pop(epoch)
             self.count -= len(records)
             self.answers_bytes -= sum(
-                answer_bytes(record.ending) for record in records.values()
+                answer_bytes(record.run_result) for record in records.values()
             )
         return bool(old)
--- a/godwitshunt/claims/recovery.py
+++ b/godwitshunt/claims/recovery.py
@@ -1,99 +1,103 @@
-"""How a holder that forgot its votes may vote again, as pure logic.
-
-It first asks for the next incarnation that none of its lives has had, then
-tells that one to fellow holders and hears their epochs. Every majority that
-it was ever in has a holder among those that answer; that holder had voted in
-the same epoch, so one more than the highest epoch told is above each epoch
-in which a vote was forgotten.
+"""Recovery of a holder that lost its votes, as pure logic.
+
+The holder first queries its peers for an incarnation that none of its earlier
+processes used. It then announces that incarnation and collects the epochs of
+its peers. Every majority that the holder was ever part of includes one of the
+peers that reply, and that peer had voted in the same epoch. One more than the
+highest reported epoch is therefore above every epoch in which the holder lost
+a vote.
 """
 
 from dataclasses import dataclass
 
-from godwitshunt.claims.standing import (
-    Standing,
-    highest_known,
-    of_present_lives,
+from godwitshunt.claims.holder_status import (
+    HolderStatus,
+    current_statuses,
+    highest_incarnation,
     recovery_quorum,
 )
 
 
 @dataclass(frozen=True)
-class TellIncarnation:
-    """Tell the others the incarnation that this holder takes."""
+class AnnounceIncarnation:
+    """Announce the incarnation that this holder adopts to its peers."""
 
     incarnation: int
 
 
 @dataclass(frozen=True)
 class Recovered:
-    """The holder may vote in epochs from `floor` on."""
+    """The holder may vote in epochs from `floor_epoch` onwards."""
 
     incarnation: int
-    known: dict[str, int]
-    floor: int
+    known_incarnations: dict[str, int]
+    floor_epoch: int
 
 
 @dataclass(frozen=True)
-class NotYet:
-    """Too few answered: ask all of them once more, from the start."""
+class RecoveryPending:
+    """Too few peers replied: start the recovery again."""
 
     answered: int
     needed: int
 
 
-RecoveryStep = TellIncarnation | Recovered | NotYet
+RecoveryStep = AnnounceIncarnation | Recovered | RecoveryPending
 
 
 @dataclass
 class Recovery:
-    """The way back of one holder.
+    """One run of a holder's recovery.
 
     Parameters
     ----------
     name : str
-        The holder.
+        The recovering holder.
     holders : tuple of str
         All holders of the generation.
     incarnation : int
-        0 while the question is which ones the others know.
+        The incarnation being announced; 0 while querying for the known ones.
     """
 
     name: str
     holders: tuple[str, ...]
     incarnation: int = 0
 
-    def take_round(self, replies: dict[str, Standing]) -> RecoveryStep:
-        """Take the replies to one question, and return the next step.
+    def process_replies(self, replies: dict[str, HolderStatus]) -> RecoveryStep:
+        """Return the next step from the replies to one round of queries.
 
         Parameters
         ----------
-        replies : dict of str to Standing
-            Replies to the present question only: one to an earlier question
-            is from before the others knew of the incarnation.
+        replies : dict of str to HolderStatus
+            Replies to the current round only: a reply to an earlier round
+            was sent before the peer knew the announced incarnation.
         """
         needed = recovery_quorum(len(self.holders))
-        present = of_present_lives(replies)
-        if len(present) < needed:
-            return NotYet(len(present), needed)
-        known = highest_known(self.name, present.values())
+        current = current_statuses(replies)
+        if len(current) < needed:
+            return RecoveryPending(len(current), needed)
+        highest = highest_incarnation(self.name, current.values())
         if not self.incarnation:
-            self.incarnation = known + 1
-            return TellIncarnation(self.incarnation)
-        if known > self.incarnation:
-            # A later life of this holder is on its way back: this one is over.
-            return NotYet(0, needed)
+            self.incarnation = highest + 1
+            return AnnounceIncarnation(self.incarnation)
+        if highest > self.incarnation:
+            # A later process of this holder is recovering: this one is
+            # superseded.
+            return RecoveryPending(0, needed)
         return Recovered(
             incarnation=self.incarnation,
-            known=merge_known(self.name, present),
-            floor=1 + max(standing.epoch for standing in present.values()),
+            known_incarnations=merge_incarnations(self.name, current),
+            floor_epoch=1 + max(status.epoch for status in current.values()),
         )
 
 
-def merge_known(name: str, replies: dict[str, Standing]) -> dict[str, int]:
-    """Return the highest incarnations that any reply tells of, less own."""
-    merged = {peer: standing.incarnation for peer, standing in replies.items()}
-    for standing in replies.values():
-        for peer, incarnation in standing.known.items():
+def merge_incarnations(
+    name: str, replies: dict[str, HolderStatus]
+) -> dict[str, int]:
+    """Return the highest incarnation of each peer in any reply."""
+    merged = {peer: status.incarnation for peer, status in replies.items()}
+    for status in replies.values():
+        for peer, incarnation in status.known_incarnations.items():
             merged[peer] = max(incarnation, merged.get(peer, 0))
     merged.pop(name, None)
     return merged
--- a/godwitshunt/claims/segments.py
+++ b/godwitshunt/claims/segments.py
@@ -1,4 +1,4 @@
-"""Which journal segments may be deleted, and when a new one begins."""
+"""Bookkeeping of which journal segments may be deleted."""
 
 from dataclasses import dataclass, field
 
@@ -18,36 +18,38 @@
 
     Parameters
     ----------
-    highest : dict
-        By segment number; the last one is being written.
+    highest_epochs : dict
+        By segment number; the last segment is the one being written.
     """
 
-    highest: dict[int, Epochs] = field(default_factory=dict)
+    highest_epochs: dict[int, Epochs] = field(default_factory=dict)
 
-    def note(self, number: int, record: GenerationChange) -> None:
-        """Note what was written to a segment."""
-        epochs = self.highest.setdefault(number, {})
+    def add(self, number: int, record: GenerationChange) -> None:
+        """Account for a record written to a segment."""
+        epochs = self.highest_epochs.setdefault(number, {})
         if isinstance(record.change, ClaimChanged):
             epoch = record.change.key.epoch
             known = epochs.get(record.generation, 0)
             epochs[record.generation] = max(epoch, known)
 
-    def first_needed(self, table: HolderTable) -> int:
-        """Return the first segment with a claim that is not below a floor."""
-        for number in sorted(self.highest):
-            if self.is_needed(self.highest[number], table):
+    def first_needed_segment(self, table: HolderTable) -> int:
+        """Return the first segment with a claim at or above a floor epoch."""
+        for number in sorted(self.highest_epochs):
+            if self.is_needed(self.highest_epochs[number], table):
                 return number
-        return max(self.highest, default=0)
+        return max(self.highest_epochs, default=0)
 
     def is_needed(self, epochs: Epochs, table: HolderTable) -> bool:
-        """Return whether a segment holds any claim that still counts."""
-        floors = table.floors()
+        """Return whether a segment has a claim that has not expired."""
+        floor_epochs = table.floor_epochs()
         return any(
-            generation in floors and epoch >= floors[generation]
+            generation in floor_epochs and epoch >= floor_epochs[generation]
             for generation, epoch in epochs.items()
         )
 
-    def forget_before(self, number: int) -> None:
-        """Drop what was noted of deleted segments."""
-        kept = [known for known in self.highest if known >= number]
-        self.highest = {known: self.highest[known] for known in kept}
+    def remove_before(self, number: int) -> None:
+        """Remove the entries of deleted segments."""
+        retained = [other for other in self.highest_epochs if other >= number]
+        self.highest_epochs = {
+            other: self.highest_epochs[other] for other in retained
+        }
--- a/godwitshunt/claims/task.py
+++ b/godwitshunt/claims/task.py
@@ -1,4 +1,4 @@
-"""The claimer's task: asks holders before a non-idempotent call runs."""
+"""Task that obtains the holders' grant before a non-idempotent call runs."""
 
 import asyncio
 import secrets
@@ -6,8 +6,9 @@
 
 from result import Err, Ok, Result
 
-from godwitshunt.claims.ballots import Ballot, HolderLinks
+from godwitshunt.claims.claim_driver import ClaimDriver, HolderClient
 from godwitshunt.claims.gen.wire import ttypes
+from godwitshunt.claims.holder_status import majority
 from godwitshunt.claims.holder_task import ClaimHolderTask
 from godwitshunt.claims.keys import ClaimKey, parse_key
 from godwitshunt.claims.messages import (
@@ -18,8 +19,7 @@
     RunUnknown,
     StoredAnswer,
 )
-from godwitshunt.claims.stamps import StampKeeper
-from godwitshunt.claims.standing import majority
+from godwitshunt.claims.stamps import KeyStampSource
 from godwitshunt.claims.verdicts import Attempt, Finish, Release, Verdict
 from godwitshunt.configuration.revision import HolderSet, Revision
 from godwitshunt.exceptions import FrameError
@@ -29,21 +29,22 @@
 from godwitshunt.telemetry import Metrics
 from godwitshunt.timer import Timer
 
-TELL_TIMEOUT_S = 1.0
-TELL_TRIES = 3
-TELL_PAUSE_S = 0.2
+NOTIFY_TIMEOUT_S = 1.0
+NOTIFY_ATTEMPTS = 3
+NOTIFY_RETRY_PAUSE_S = 0.2
 SESSION_BYTES = 8
 
 
 class ClaimsTask:
-    """Claims keys for this VM's calls, and votes on those of others.
+    """Claims keys for calls of this VM and votes on claims of other VMs.
 
     Parameters
     ----------
     settings : NodeSettings
         The VM's name, region and data folder.
     session : str
-        Told in heartbeats, so that control lists it in new holder sets.
+        Random id of this process. Heartbeats report it, so that control can
+        list it in new holder sets.
     """
 
     def __init__(
@@ -65,13 +66,13 @@
             timer,
             metrics,
         )
-        self.links = HolderLinks(links, self.holder, timer, metrics)
-        self.sets: dict[tuple[str, int], HolderSet] = {}
-        self.stamps = StampKeeper(settings, self.links)
+        self.holder_client = HolderClient(links, self.holder, timer, metrics)
+        self.holder_sets: dict[tuple[str, int], HolderSet] = {}
+        self.stamp_source = KeyStampSource(settings, self.holder_client)
         self.granted: dict[str, Attempt] = {}
-        self.ballots: list[Ballot] = []
-        # Keys whose ending is being told to the holders.
-        self.settling: set[str] = set()
+        self.active_drivers: list[ClaimDriver] = []
+        # Keys whose run result or release is being sent to the holders.
+        self.settling_keys: set[str] = set()
         self.jobs = Jobs()
 
     @classmethod
@@ -82,46 +83,47 @@
         timer: Timer,
         metrics: Metrics,
     ) -> Self:
-        """Make the task of an entry VM or of a control VM."""
+        """Create the task of an entry VM or control VM."""
         return cls(settings, links, timer, metrics)
 
     async def start(self) -> None:
-        """Begin to vote, and follow the epoch of the own region."""
+        """Start to vote and to track the epoch of this VM's region."""
         await self.holder.start()
-        self.links.links.subscribe(
+        self.holder_client.links.subscribe(
             MessageKind.claim_running,
             self.answer_running,
         )
-        self.stamps.start()
+        self.stamp_source.start()
 
     async def close(self) -> None:
-        """Stop voting; claims under way are withdrawn by their callers."""
-        await self.stamps.close()
+        """Stop voting; callers withdraw their own claims in progress."""
+        await self.stamp_source.close()
         await self.jobs.close()
-        await self.links.jobs.close()
+        await self.holder_client.jobs.close()
         await self.holder.close()
 
     def apply_revision(self, revision: Revision) -> None:
-        """Follow the committed holder sets."""
-        self.sets = {
-            (one.region, one.generation): one for one in revision.holders
+        """Apply the committed holder sets."""
+        self.holder_sets = {
+            (holder_set.region, holder_set.generation): holder_set
+            for holder_set in revision.holders
         }
-        self.links.addresses = {vm.name: vm.peer for vm in revision.vms}
+        self.holder_client.addresses = {vm.name: vm.peer for vm in revision.vms}
         self.holder.apply_revision(revision)
-        self.stamps.apply_sets(revision.holders)
+        self.stamp_source.apply_holder_sets(revision.holders)
 
     def is_recovering(self) -> bool:
         """Return whether this VM abstains in its region's newest set.
 
-        Control commits a new set, with the present sessions, where that
-        lasts: too few holders remember for any to recover.
+        If this persists, too few holders still have their votes for any to
+        recover; control then commits a new set with the current sessions.
         """
-        recovering = self.holder.table.recovering()
-        return self.stamps.newest_generation() in recovering
+        recovering = self.holder.table.recovering_generations()
+        return self.stamp_source.newest_generation() in recovering
 
     def stamp(self) -> str | None:
-        """Return what keys begin with; None while no epoch is known."""
-        return self.stamps.stamp()
+        """Return the current key stamp, or None while no epoch is known."""
+        return self.stamp_source.stamp()
 
     async def claim(
         self,
@@ -129,29 +131,29 @@
         request_digest: bytes,
         timeout_s: float,
     ) -> ClaimOutcome:
-        """Ask the key's holders whether a call may run.
+        """Ask the key's holders for permission to run a call.
 
         Parameters
         ----------
         key : str
             The caller's ``Idempotency-Key``.
         request_digest : bytes
-            Digest over what makes two requests the same, at most 32 bytes.
+            Digest of the request, equal for resends; at most 32 bytes.
         timeout_s : float
-            Seconds to wait, for holders or for another attempt's answer.
+            Seconds to wait for holders or for a competing attempt.
 
         Returns
         -------
         ClaimOutcome
-            Only `Granted` allows the call to run; then `finish`,
-            `finish_unknown` or `release` must follow.
+            Only `Granted` permits the call to run. The caller must then
+            call `finish`, `finish_unknown` or `release`.
         """
-        found = self.find_set(key)
-        if isinstance(found, Err):
-            return found.err_value
-        parsed, holder_set = found.ok_value
-        ballot = Ballot(
-            links=self.links,
+        lookup = self.find_holder_set(key)
+        if isinstance(lookup, Err):
+            return lookup.err_value
+        parsed, holder_set = lookup.ok_value
+        driver = ClaimDriver(
+            client=self.holder_client,
             vm=self.settings.name,
             key=parsed,
             request_digest=request_digest,
@@ -160,119 +162,131 @@
             withdraw=self.withdraw,
         )
         started_s = self.timer.now()
-        self.ballots.append(ballot)
+        self.active_drivers.append(driver)
         try:
-            outcome = await ballot.run()
+            outcome = await driver.run()
         finally:
-            self.ballots.remove(ballot)
+            self.active_drivers.remove(driver)
         if isinstance(outcome, Granted):
-            self.granted[key] = ballot.attempt
+            self.granted[key] = driver.attempt
         elapsed_s = self.timer.now() - started_s
         name = type(outcome).__name__
         self.metrics.observe('claim_seconds', elapsed_s, outcome=name)
         return outcome
 
     async def answer_running(self, sender: str, body: bytes) -> bytes:
-        """Tell a rival's VM whether an attempt here may run a key's call."""
+        """Answer a competing VM that asks whether a key's call may run here."""
         key = decode(ttypes.RunningCall, body).key
         if not key:
             raise FrameError('RunningCall: no key')
-        return encode(ttypes.RunningReply(running=self.may_run(key)))
+        return encode(ttypes.RunningReply(running=self.may_be_running(key)))
 
-    def may_run(self, key: str) -> bool:
-        """Tell whether an attempt of this VM runs, or may come to run.
+    def may_be_running(self, key: str) -> bool:
+        """Return whether an attempt of this VM runs or may still run.
 
-        One that only waits for another VM's attempt does not.
+        A claim that only waits for another VM's attempt does not count.
         """
-        voting = any(
-            ballot.key.text == key and ballot.attempt is not None
-            for ballot in self.ballots
+        collecting_votes = any(
+            driver.key.text == key and driver.attempt is not None
+            for driver in self.active_drivers
+        )
+        return (
+            collecting_votes or key in self.granted or key in self.settling_keys
         )
-        return voting or key in self.granted or key in self.settling
 
-    def find_set(
+    def find_holder_set(
         self,
         key: str,
     ) -> Result[tuple[ClaimKey, HolderSet], ClaimOutcome]:
-        """Return the parsed key and its holders, or why there are none."""
+        """Return the parsed key and its holder set, or why there is none."""
         parsed = parse_key(key)
         if isinstance(parsed, Err):
             return parsed
         claim_key: ClaimKey = parsed.ok_value
-        found = self.sets.get((claim_key.region, claim_key.generation))
-        if found is not None:
-            return Ok((claim_key, found))
+        holder_set = self.holder_sets.get(
+            (claim_key.region, claim_key.generation)
+        )
+        if holder_set is not None:
+            return Ok((claim_key, holder_set))
         known = [
             generation
-            for region, generation in self.sets
+            for region, generation in self.holder_sets
             if region == claim_key.region
         ]
         if known and claim_key.generation < min(known):
             return Err(KeyExpired())
-        # A region or a set that this VM has not heard of yet: another VM may
-        # have run the call.
+        # This VM does not know the region or the holder set yet; another VM
+        # may have run the call.
         return Err(NoMajority(0, 1))
 
     async def finish(self, key: str, answer: StoredAnswer) -> None:
-        """Keep a call's whole answer for resends of its key."""
-        await self.end(key, answer)
+        """Store a call's complete answer for resends of its key."""
+        await self.report_run_result(key, answer)
 
     async def finish_unknown(self, key: str, reason: str) -> None:
-        """Note that a call may have run and that there is no answer."""
-        await self.end(key, RunUnknown(reason))
+        """Record that a call may have run and that no answer is stored."""
+        await self.report_run_result(key, RunUnknown(reason))
 
-    async def end(self, key: str, ending: StoredAnswer | RunUnknown) -> None:
-        """Tell the holders what came of a granted attempt."""
+    async def report_run_result(
+        self, key: str, run_result: StoredAnswer | RunUnknown
+    ) -> None:
+        """Report the run result of a granted attempt to the holders."""
         attempt = self.granted.pop(key, None)
         if attempt is not None:
-            await self.settle(key, Finish(attempt, ending))
+            await self.settle(key, Finish(attempt, run_result))
 
     async def release(self, key: str) -> None:
-        """Give up a granted claim, on the proof that the call did not run.
+        """Release a granted claim whose call provably did not run.
 
-        Only a connection that was never made is such a proof.
+        The only such proof is that no connection was ever established.
         """
         attempt = self.granted.pop(key, None)
         if attempt is not None:
             await self.settle(key, Release(attempt))
 
     async def settle(self, key: str, request: Finish | Release) -> None:
-        """Tell the holders; rivals are told to wait until they know."""
-        self.settling.add(key)
+        """Notify the holders; the key counts as running here until then."""
+        self.settling_keys.add(key)
         try:
-            await self.tell(request)
+            await self.notify_holders(request)
         finally:
-            self.settling.discard(key)
+            self.settling_keys.discard(key)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Have holders forget an attempt that never runs."""
-        self.jobs.run(self.tell(Release(attempt)))
+        """Release an attempt that will not run, in the background."""
+        self.jobs.run(self.notify_holders(Release(attempt)))
 
-    async def tell(self, request: Finish | Release) -> None:
-        """Tell every holder; return once a majority knows or all failed."""
+    async def notify_holders(self, request: Finish | Release) -> None:
+        """Send to every holder; return once a majority of sends is complete.
+
+        A send that failed after all its retries counts as complete, so that
+        this always returns.
+        """
         key = request.attempt.key
-        holder_set = self.sets.get((key.region, key.generation))
+        holder_set = self.holder_sets.get((key.region, key.generation))
         if holder_set is None:
             return
-        told = asyncio.Semaphore(0)
+        completed = asyncio.Semaphore(0)
         names = holder_set.names
         for holder in names:
-            self.jobs.run(self.tell_holder(holder, request, told))
+            self.jobs.run(self.notify_holder(holder, request, completed))
         for _ in range(majority(len(names))):
-            await told.acquire()
+            await completed.acquire()
 
-    async def tell_holder(
+    async def notify_holder(
         self,
         holder: str,
         request: Finish | Release,
-        told: asyncio.Semaphore,
+        completed: asyncio.Semaphore,
     ) -> None:
-        """Tell one holder, several times where it does not answer."""
-        for _ in range(TELL_TRIES):
-            answer = await self.links.ask(holder, request, TELL_TIMEOUT_S)
+        """Notify one holder, with retries if it does not answer."""
+        for _ in range(NOTIFY_ATTEMPTS):
+            answer = await self.holder_client.send_request(
+                holder, request, NOTIFY_TIMEOUT_S
+            )
             if answer is not None and answer.verdict is not Verdict.abstained:
                 break
-            await self.links.pause(TELL_PAUSE_S)
+            await self.holder_client.sleep(NOTIFY_RETRY_PAUSE_S)
         else:
             self.metrics.count('claims_not_told_total')
-        told.release()
+        completed.release()
--- a/godwitshunt/claims/tests/test_holder.py
+++ b/godwitshunt/claims/tests/test_holder.py
@@ -1,22 +1,22 @@
-"""Named schedules over holders: each forgets, delays or doubles something."""
+"""Single schedules over holders with lost, late or duplicate messages."""
 
 import pytest
 
-from godwitshunt.claims.claimant import Run, decide_claim, decide_wait
+from godwitshunt.claims.claimant import Run, next_voting_step, next_waiting_step
 from godwitshunt.claims.holder import Holder
+from godwitshunt.claims.holder_status import HolderStatus
 from godwitshunt.claims.keys import parse_key
 from godwitshunt.claims.messages import RunUnknown, StoredAnswer
 from godwitshunt.claims.records import MAX_ANSWER_BYTES, MAX_CLAIMS
 from godwitshunt.claims.recovery import (
-    NotYet,
+    AnnounceIncarnation,
     Recovered,
     Recovery,
-    TellIncarnation,
+    RecoveryPending,
 )
-from godwitshunt.claims.standing import Standing
-from godwitshunt.claims.tests.machine import (
+from godwitshunt.claims.tests.simulation import (
     ANSWER,
-    ClaimMachine,
+    ClaimSimulation,
     FromPeer,
     ToClaimant,
     ToHolder,
@@ -44,11 +44,11 @@
 
 
 @pytest.mark.parametrize(
-    ('before', 'asked', 'verdict'),
+    ('earlier', 'latest', 'verdict'),
     [
         pytest.param([], Claim(A), Verdict.granted, id='first'),
-        pytest.param([Claim(A)], Claim(A), Verdict.granted, id='doubled'),
-        pytest.param([Claim(A)], Claim(B), Verdict.held, id='rival'),
+        pytest.param([Claim(A)], Claim(A), Verdict.granted, id='duplicate'),
+        pytest.param([Claim(A)], Claim(B), Verdict.held, id='competing'),
         pytest.param([Claim(A)], Claim(C), Verdict.reused, id='other-body'),
         pytest.param([Claim(A)], Query(B), Verdict.held, id='query'),
         pytest.param([], Query(B), Verdict.free, id='query-free'),
@@ -62,10 +62,13 @@
             [Claim(A), Release(B)], Claim(B), Verdict.abstained, id='withdrawn'
         ),
         pytest.param(
-            [Release(A)], Claim(A), Verdict.abstained, id='overtaken-claim'
+            [Release(A)], Claim(A), Verdict.abstained, id='claim-after-release'
         ),
         pytest.param(
-            [Claim(A), Release(B)], Query(B), Verdict.held, id='foreign-release'
+            [Claim(A), Release(B)],
+            Query(B),
+            Verdict.held,
+            id='release-of-another-attempt',
         ),
         pytest.param(
             [Claim(A), Finish(A, ANSWER)],
@@ -89,13 +92,13 @@
             [Claim(A), Finish(B, ANSWER)],
             Query(A),
             Verdict.answered,
-            id='finish-beats-a-losing-vote',
+            id='finish-replaces-a-minority-vote',
         ),
         pytest.param(
             [Claim(A), Finish(A, ANSWER), Release(A)],
             Claim(B),
             Verdict.answered,
-            id='late-release-after-the-run',
+            id='late-release-after-finish',
         ),
         pytest.param(
             [Finish(A, ANSWER), Finish(A, RunUnknown('late'))],
@@ -111,54 +114,56 @@
         ),
     ],
 )
-def test_what_a_holder_answers(before, asked, verdict):
-    """Messages come late, twice, in another order, or from a rival.
+def test_holder_verdicts(earlier, latest, verdict):
+    """Requests arrive late, twice, reordered, or from a competing attempt.
 
-    A wrong verdict here runs a call twice, hands one caller's answer to
-    another, or blocks a key for ever.
+    A wrong verdict would run a call twice, return one caller's answer to
+    another, or block a key permanently.
     """
     holder = Holder('h0')
-    for earlier in before:
-        holder.apply(earlier, 0, 0.0)
-    assert holder.apply(asked, 0, 0.0).verdict is verdict
+    for request in earlier:
+        holder.apply(request, 0, 0.0)
+    assert holder.apply(latest, 0, 0.0).verdict is verdict
 
 
 @pytest.mark.parametrize(
     ('state', 'verdict'),
     [
         ({'recovering': True}, Verdict.abstained),
-        ({'epoch': 2, 'floor': 1}, Verdict.expired),
-        ({'epoch': 1, 'floor': 0}, Verdict.granted),
+        ({'epoch': 2, 'floor_epoch': 1}, Verdict.expired),
+        ({'epoch': 1, 'floor_epoch': 0}, Verdict.granted),
     ],
 )
-def test_a_holder_grants_only_where_it_remembers(state, verdict):
-    """A key is old, or the holder has forgotten."""
+def test_holder_grants_only_within_its_retained_epochs(state, verdict):
+    """The key is older than the floor epoch, or the holder is recovering."""
     assert Holder('h0', **state).apply(Claim(A), 0, 0.0).verdict is verdict
 
 
-def test_a_made_up_epoch_is_not_granted_and_moves_nothing():
-    """A caller writes a far epoch into its key."""
+def test_forged_epoch_is_not_granted_and_does_not_advance_the_holder():
+    """A caller forges a key with a far future epoch."""
     holder = Holder('h0')
     key = parse_key('split.1.99.caller-1').unwrap()
-    ahead = holder.apply(Claim(Attempt(key, b'', 'vm', 1)), 0, 0.0)
-    assert ahead.verdict is Verdict.abstained
+    answer = holder.apply(Claim(Attempt(key, b'', 'vm', 1)), 0, 0.0)
+    assert answer.verdict is Verdict.abstained
     assert holder.epoch == 0
 
 
-def test_a_full_holder_abstains_for_new_keys_and_forgets_none():
-    """More keys are claimed in an epoch than a holder may keep."""
+def test_full_holder_abstains_for_new_keys_and_retains_the_others():
+    """More keys are claimed in an epoch than a holder can store."""
     holder = Holder('h0')
     holder.apply(Claim(A), 0, 0.0)
     holder.store.count = MAX_CLAIMS
     key = parse_key('split.1.0.caller-2').unwrap()
-    more = holder.apply(Claim(Attempt(key, b'', 'vm', 1)), 0, 0.0)
-    assert more.verdict is Verdict.abstained
+    answer = holder.apply(Claim(Attempt(key, b'', 'vm', 1)), 0, 0.0)
+    assert answer.verdict is Verdict.abstained
     assert holder.apply(Claim(B), 0, 0.0).verdict is Verdict.held
 
 
-def vote(**known: int) -> HolderAnswer:
-    """Return a vote whose holder knows these incarnations."""
-    return HolderAnswer(Verdict.granted, Standing(known=known))
+def vote(**known_incarnations: int) -> HolderAnswer:
+    """Return a vote of a holder that knows these incarnations of peers."""
+    return HolderAnswer(
+        Verdict.granted, HolderStatus(known_incarnations=known_incarnations)
+    )
 
 
 @pytest.mark.parametrize(
@@ -171,71 +176,74 @@
         ({'h0': vote(h1=1), 'h1': vote(h0=1)}, False),
     ],
 )
-def test_votes_count_only_within_present_lives(answers, runs):
-    """A holder voted, restarted without its vote, and another knows it."""
-    assert isinstance(decide_claim(1, 3, answers, 0), Run) is runs
+def test_only_votes_of_current_incarnations_count(answers, runs):
+    """A holder lost its vote in a restart that another holder knows of."""
+    assert isinstance(next_voting_step(1, 3, answers, 0), Run) is runs
 
 
 @pytest.mark.parametrize('count', [2, 3, 4, 5])
-def test_waiting_for_a_rival_never_runs(count):
-    """Every holder says that the key is free again: claim it, don't run."""
-    free = HolderAnswer(Verdict.free, Standing())
+def test_waiting_claim_never_runs_without_a_new_attempt(count):
+    """Every holder reports the key as free: a new attempt is needed."""
+    free = HolderAnswer(Verdict.free, HolderStatus())
     answers = {f'h{number}': free for number in range(count)}
-    assert not isinstance(decide_wait(count, answers), Run)
+    assert not isinstance(next_waiting_step(count, answers), Run)
 
 
-def test_a_late_vote_does_not_join_one_from_a_past_life():
-    """One holder is an epoch ahead, votes, dies, and recovers below the key.
+def test_late_vote_does_not_count_with_one_of_a_superseded_incarnation():
+    """A holder votes, restarts, and recovers at an epoch below the key's.
 
-    The other holder's vote for the same attempt was under way meanwhile. If
-    both counted, a resend could win the restarted holder and the third one.
+    Meanwhile another holder's vote for the same attempt is still in flight.
+    If both votes counted, the attempt would run although a resend can get the
+    votes of the restarted holder and the third one.
     """
-    machine = ClaimMachine(3, frozenset())
-    machine.pass_epoch(('h0',))
-    machine.stamp(1)
-    machine.begin(machine.keys[0], 1, b'a')
-    late = take(machine, ToHolder, 'h1')
-    deliver(machine, ToHolder, 'h0')
-    deliver(machine, ToClaimant, 'h0')
-    machine.restart('h0')
-    machine.ask_peers('h0')
+    simulation = ClaimSimulation(3, frozenset())
+    simulation.pass_epoch(('h0',))
+    simulation.add_key(1)
+    simulation.start_attempt(simulation.keys[0], 1, b'a')
+    late_claim = pop_message(simulation, ToHolder, 'h1')
+    deliver(simulation, ToHolder, 'h0')
+    deliver(simulation, ToClaimant, 'h0')
+    simulation.restart('h0')
+    simulation.start_recovery('h0')
     for kind in (ToPeer, FromPeer, ToPeer, FromPeer):
-        for name in machine.names:
-            deliver(machine, kind, name)
-    assert not machine.holders['h0'].recovering
-    machine.deliver(late)
-    deliver(machine, ToClaimant, 'h1')
-    assert machine.trials[0].state == 'claiming'
-    machine.begin(machine.keys[0], 2, b'a')
+        for name in simulation.names:
+            deliver(simulation, kind, name)
+    assert not simulation.holders['h0'].recovering
+    simulation.deliver(late_claim)
+    deliver(simulation, ToClaimant, 'h1')
+    assert simulation.attempts[0].state == 'claiming'
+    simulation.start_attempt(simulation.keys[0], 2, b'a')
     for kind in (ToHolder, ToClaimant):
         for name in ('h0', 'h2'):
-            deliver(machine, kind, name, trial=1)
-    assert machine.trials[1].state == 'granted'
+            deliver(simulation, kind, name, attempt_index=1)
+    assert simulation.attempts[1].state == 'granted'
 
 
-def deliver(machine: ClaimMachine, kind: type, name: str, trial=0) -> None:
-    """Deliver every message of a kind that concerns a holder."""
-    for message in tuple(machine.bag):
+def deliver(
+    simulation: ClaimSimulation, kind: type, name: str, attempt_index=0
+) -> None:
+    """Deliver every message of a kind to or from a holder."""
+    for message in tuple(simulation.in_flight):
         if not isinstance(message, kind) or message.holder != name:
             continue
-        if getattr(message, 'trial', trial) == trial:
-            machine.bag.remove(message)
-            machine.deliver(message)
+        if getattr(message, 'attempt_index', attempt_index) == attempt_index:
+            simulation.in_flight.remove(message)
+            simulation.deliver(message)
 
 
-def take(machine: ClaimMachine, kind: type, name: str):
-    """Take a message out of the bag."""
+def pop_message(simulation: ClaimSimulation, kind: type, name: str):
+    """Remove and return the first message of a kind to or from a holder."""
     message = next(
-        one
-        for one in machine.bag
-        if isinstance(one, kind) and one.holder == name
+        candidate
+        for candidate in simulation.in_flight
+        if isinstance(candidate, kind) and candidate.holder == name
     )
-    machine.bag.remove(message)
+    simulation.in_flight.remove(message)
     return message
 
 
 @pytest.mark.parametrize(
-    ('count', 'epochs', 'floor'),
+    ('count', 'epochs', 'floor_epoch'),
     [
         (1, [], None),
         (2, [4], 5),
@@ -246,40 +254,43 @@
         (5, [1, 2, 3], 4),
     ],
 )
-def test_recovery_needs_enough_others_and_goes_above_them(
+def test_recovery_needs_a_quorum_and_raises_the_floor_above_it(
     count,
     epochs,
-    floor,
+    floor_epoch,
 ):
-    """A holder without a disk restarts while others are gone, too."""
+    """A holder without a disk restarts while other holders are down."""
     names = tuple(f'h{number}' for number in range(count))
     recovery = Recovery('h0', names)
     replies = {
-        f'h{number}': Standing(epoch=epoch)
+        f'h{number}': HolderStatus(epoch=epoch)
         for number, epoch in enumerate(epochs, start=1)
     }
-    recovery.take_round(replies)
-    step = recovery.take_round(replies)
-    if floor is None:
-        assert isinstance(step, NotYet)
+    recovery.process_replies(replies)
+    step = recovery.process_replies(replies)
+    if floor_epoch is None:
+        assert isinstance(step, RecoveryPending)
     else:
-        assert step == Recovered(1, dict.fromkeys(replies, 0), floor)
+        assert step == Recovered(1, dict.fromkeys(replies, 0), floor_epoch)
 
 
-def test_recovery_takes_an_incarnation_that_no_life_had():
-    """A holder restarts for the third time; one fellow missed the second.
+def test_recovery_adopts_an_unused_incarnation():
+    """A holder restarts for the third time; one peer missed the second.
 
-    Under an old number its new votes would pass for forgotten ones.
+    With a reused incarnation, its lost votes would count with its new ones.
     """
     recovery = Recovery('h0', ('h0', 'h1', 'h2'))
-    heard = {'h1': Standing(known={'h0': 2}), 'h2': Standing(known={'h0': 1})}
-    assert recovery.take_round(heard) == TellIncarnation(3)
+    replies = {
+        'h1': HolderStatus(known_incarnations={'h0': 2}),
+        'h2': HolderStatus(known_incarnations={'h0': 1}),
+    }
+    assert recovery.process_replies(replies) == AnnounceIncarnation(3)
 
 
-def test_recovery_does_not_count_a_fellow_that_forgot_meanwhile():
-    """Two holders restart at once; the one's reply is from before."""
+def test_recovery_ignores_the_reply_of_a_peer_that_restarted_since():
+    """Two holders restart at once; one reply predates its sender's restart."""
     recovery = Recovery('h0', ('h0', 'h1', 'h2'))
-    before = {'h1': Standing(epoch=3), 'h2': Standing(epoch=3)}
-    recovery.take_round(before)
-    mixed = {'h1': Standing(epoch=3), 'h2': Standing(0, {'h1': 1}, 3)}
-    assert isinstance(recovery.take_round(mixed), NotYet)
+    first = {'h1': HolderStatus(epoch=3), 'h2': HolderStatus(epoch=3)}
+    recovery.process_replies(first)
+    second = {'h1': HolderStatus(epoch=3), 'h2': HolderStatus(0, {'h1': 1}, 3)}
+    assert isinstance(recovery.process_replies(second), RecoveryPending)
--- a/godwitshunt/claims/tests/test_task.py
+++ b/godwitshunt/claims/tests/test_task.py
@@ -1,4 +1,4 @@
-"""Claims over tasks: on virtual time with faults, and over real sockets."""
+"""Claims between tasks: with faults in virtual time, and over sockets."""
 
 import asyncio
 import random
@@ -40,13 +40,13 @@
 DIGEST = b'd' * 32
 
 
-async def run_at_once(call, *arguments):
-    """Run a blocking call on the event loop."""
+async def run_inline(call, *arguments):
+    """Run a blocking call directly on the event loop."""
     return call(*arguments)
 
 
 class Region:
-    """Claims tasks of a region's VMs on a fake network."""
+    """The claims tasks of a region's VMs on a fake network."""
 
     def __init__(self, count: int, folder=None, journaled='', seed=1) -> None:
         self.network = FakeNetwork()
@@ -58,11 +58,11 @@
         self.journaled = journaled
         self.tasks: dict[str, ClaimsTask] = {}
         self.revision = None
-        self.number = 0
+        self.generation = 0
         self.random = random.Random(seed)
 
     async def start(self, name: str) -> ClaimsTask:
-        """Start a VM, or start it again as after a kill."""
+        """Start a VM, for the first time or after a kill."""
         vm = self.vms[name]
         data_folder = self.folder if name in self.journaled else None
         task = ClaimsTask.from_config(
@@ -72,9 +72,9 @@
             Metrics(),
         )
         if data_folder is not None:
-            # Virtual time must not run on while a thread syncs.
-            task.holder.journal.journal.run_blocking = run_at_once
-        task.links.draw_number = lambda: self.random.getrandbits(62) + 1
+            # Virtual time must not advance while a thread syncs.
+            task.holder.journal.journal.run_blocking = run_inline
+        task.holder_client.draw_number = lambda: self.random.getrandbits(62) + 1
         await task.start()
         self.tasks[name] = task
         if self.revision is not None:
@@ -82,7 +82,7 @@
         return task
 
     async def start_all(self) -> 'Region':
-        """Start every VM, and commit their holder set."""
+        """Start every VM and commit their holder set."""
         for name in self.vms:
             await self.start(name)
         self.commit()
@@ -90,45 +90,45 @@
         return self
 
     def commit(self) -> None:
-        """Commit a holder set with the sessions that run now."""
-        self.number += 1
+        """Commit a holder set with the current sessions."""
+        self.generation += 1
         sessions = tuple(task.session for task in self.tasks.values())
         holders = () if self.revision is None else self.revision.holders
-        newest = HolderSet('split', self.number, tuple(self.vms), sessions)
+        newest = HolderSet('split', self.generation, tuple(self.vms), sessions)
         self.revision = make_revision(
             tuple(self.vms.values()),
             (*holders, newest),
-            self.number,
+            self.generation,
         )
         for task in self.tasks.values():
             task.apply_revision(self.revision)
 
     def kill(self, name: str) -> None:
-        """End a VM at once: it sends and answers nothing more."""
+        """Stop a VM abruptly: it sends and answers nothing more."""
         self.network.links.pop(self.vms[name].peer)
         task = self.tasks.pop(name)
-        for part in (task.stamps, task.holder):
+        for part in (task.stamp_source, task.holder):
             for subscription in part.subscriptions:
                 subscription.cancel()
         if task.holder.journal is not None:
-            task.holder.journal.journal.failed = StorageError('', 'killed')
+            task.holder.journal.journal.failure = StorageError('', 'killed')
 
     async def restart(self, name: str, pause_s: float = 4.0) -> None:
-        """Kill and start a VM, and give it time to recover."""
+        """Kill and start a VM, then give it time to recover."""
         self.kill(name)
         await self.start(name)
         await self.network.advance(pause_s)
 
-    def key(self, own: str = 'caller-1') -> str:
-        """Return a key under the present stamp."""
-        return f'{self.tasks["a"].stamp()}.{own}'
+    def key(self, own_part: str = 'caller-1') -> str:
+        """Return a key with the current key stamp."""
+        return f'{self.tasks["a"].stamp()}.{own_part}'
 
     async def claim(self, name, key, digest=DIGEST, timeout_s=1.0):
-        """Claim at one VM and return what came of it."""
+        """Claim a key at one VM and return the outcome."""
         return (await self.claim_all([(name, key, digest)], timeout_s))[0]
 
     async def claim_all(self, claims, timeout_s=1.0):
-        """Claim at several VMs at once."""
+        """Claim keys at several VMs concurrently."""
         jobs = [
             asyncio.ensure_future(
                 self.tasks[name].claim(key, digest, timeout_s),
@@ -142,23 +142,23 @@
                 break
         return [job.result() for job in jobs]
 
-    async def do(self, work):
-        """Run a coroutine while time passes."""
-        job = asyncio.ensure_future(work)
+    async def run(self, coroutine):
+        """Run a coroutine while virtual time advances."""
+        job = asyncio.ensure_future(coroutine)
         await self.network.advance(0.2)
         return job
 
 
 @pytest.mark.parametrize('count', [1, 2, 3, 5])
-async def test_one_run_and_its_answer_at_every_vm(count):
-    """A caller resends after an answer that it did not get."""
+async def test_stored_answer_is_returned_at_every_vm(count):
+    """A caller resends because it did not receive the answer."""
     region = await Region(count).start_all()
     key = region.key()
     assert isinstance(await region.claim('a', key), Granted)
     last = NAMES[count - 1]
     waiting = await region.claim(last, key, timeout_s=0.3)
     assert waiting == InProgress('a')
-    await region.do(region.tasks['a'].finish(key, ANSWER))
+    await region.run(region.tasks['a'].finish(key, ANSWER))
     assert await region.claim(last, key) == AlreadyAnswered(ANSWER)
     reused = await region.claim(last, key, b'e' * 32)
     assert isinstance(reused, KeyReused)
@@ -166,10 +166,10 @@
 
 @pytest.mark.parametrize('seed', range(4))
 @pytest.mark.parametrize('count', [2, 3, 4, 5])
-async def test_parallel_sends_run_once_and_get_one_answer(count, seed):
+async def test_concurrent_sends_run_once_and_get_the_same_answer(count, seed):
     """A caller sends to several VMs at once, and the votes are split.
 
-    One attempt runs; the others get its answer and do not wait for ever.
+    One attempt runs; the others get its answer instead of waiting forever.
     """
     region = await Region(count, seed=seed).start_all()
     for number in range(10):
@@ -180,37 +180,37 @@
         assert kinds.count(Granted) == 1
         assert kinds.count(InProgress) == count - 1
         winner = list(region.vms)[kinds.index(Granted)]
-        await region.do(region.tasks[winner].finish(key, ANSWER))
+        await region.run(region.tasks[winner].finish(key, ANSWER))
         again = await region.claim_all(sends)
         assert set(map(type, again)) == {AlreadyAnswered}
 
 
 @pytest.mark.parametrize(
-    ('count', 'gone', 'expected'),
+    ('count', 'failed', 'expected'),
     [(3, 'c', Granted), (3, 'bc', NoMajority), (2, 'b', NoMajority)],
 )
-@pytest.mark.parametrize('how', ['killed', 'frozen', 'cut'])
-async def test_a_majority_decides(count, gone, expected, how):
-    """Some holders are gone, frozen, or cut off in one direction.
+@pytest.mark.parametrize('fault', ['killed', 'frozen', 'cut'])
+async def test_majority_decides(count, failed, expected, fault):
+    """Some holders are killed, frozen, or cut off in one direction.
 
-    Without a majority nothing runs, since the other side may run it.
+    Without a majority nothing runs, since the other side may run the call.
     """
     region = await Region(count).start_all()
     key = region.key()
-    for name in gone:
-        if how == 'killed':
+    for name in failed:
+        if fault == 'killed':
             region.kill(name)
-        elif how == 'frozen':
+        elif fault == 'frozen':
             region.network.held.add(('a', name))
         else:
             region.network.cut.add((name, 'a'))
     assert isinstance(await region.claim('a', key), expected)
 
 
-async def test_late_votes_of_a_given_up_attempt_block_nobody():
+async def test_late_votes_for_a_withdrawn_attempt_do_not_block_its_key():
     """A claim reaches a frozen holder long after its VM gave up.
 
-    The holder must not keep the key for an attempt that never runs.
+    The holder must not reserve the key for an attempt that never runs.
     """
     region = await Region(2).start_all()
     key = region.key()
@@ -221,49 +221,49 @@
     assert isinstance(await region.claim('b', key), Granted)
 
 
-async def test_a_released_claim_may_run_elsewhere():
+async def test_released_claim_may_run_elsewhere():
     """The connection to the upstream failed, which proves that nothing ran."""
     region = await Region(3).start_all()
     key = region.key()
     assert isinstance(await region.claim('a', key), Granted)
-    await region.do(region.tasks['a'].release(key))
+    await region.run(region.tasks['a'].release(key))
     assert isinstance(await region.claim('b', key), Granted)
 
 
-async def test_a_waiting_resend_takes_over_a_released_claim():
+async def test_waiting_resend_is_granted_a_released_claim():
     """A resend waits for an attempt whose connection then fails."""
     region = await Region(3).start_all()
     key = region.key()
     await region.claim('a', key)
     resend = asyncio.ensure_future(region.tasks['b'].claim(key, DIGEST, 2.0))
     await region.network.advance(0.2)
-    await region.do(region.tasks['a'].release(key))
+    await region.run(region.tasks['a'].release(key))
     await region.network.advance(0.5)
     assert isinstance(resend.result(), Granted)
 
 
 @pytest.mark.parametrize(
-    'ending',
+    'run_result',
     [StoredAnswer(200, (), b'x' * 70_000), 'the upstream broke the connection'],
 )
-async def test_what_is_not_kept_is_unknown(ending):
-    """An answer is too large to keep, or broke before its end."""
+async def test_run_without_stored_answer_is_unknown(run_result):
+    """An answer is too large to store, or its connection broke."""
     region = await Region(3).start_all()
     key = region.key()
     await region.claim('a', key)
     task = region.tasks['a']
-    if isinstance(ending, str):
-        await region.do(task.finish_unknown(key, ending))
+    if isinstance(run_result, str):
+        await region.run(task.finish_unknown(key, run_result))
     else:
-        await region.do(task.finish(key, ending))
+        await region.run(task.finish(key, run_result))
     assert isinstance(await region.claim('b', key), RunUnknown)
 
 
 @pytest.mark.parametrize('count', [2, 3, 5])
-async def test_a_holder_that_forgot_does_not_grant_again(count):
-    """The VM that ran a call dies; then each holder restarts in turn.
+async def test_holder_that_lost_its_votes_does_not_grant_again(count):
+    """Every holder restarts in turn after a call was granted.
 
-    None has a disk. The first run is known to nobody in the end, and a
+    None has a disk, so that in the end no holder knows of the first run. A
     resend must still not run.
     """
     region = await Region(count).start_all()
@@ -280,10 +280,11 @@
     )
 
 
-async def test_all_holders_restarted_abstain_until_a_new_set():
-    """Every VM of a region loses power; none has a disk.
+async def test_holders_abstain_after_a_full_restart_until_a_new_set():
+    """Every VM of a region loses power, and none has a disk.
 
-    No old key runs. Keys under a new set, which control commits, do.
+    Calls under old keys do not run. Calls under keys of the new holder set
+    that control commits do.
     """
     region = await Region(3).start_all()
     key = region.key()
@@ -302,12 +303,12 @@
     assert isinstance(await region.claim('b', region.key()), Granted)
 
 
-async def test_journaled_holders_remember_over_a_restart_of_all(tmp_path):
-    """Every VM of a region loses power; all have disks."""
+async def test_journaled_holders_keep_claims_over_a_full_restart(tmp_path):
+    """Every VM of a region loses power, and all have disks."""
     region = await Region(3, tmp_path, 'abc').start_all()
     key, second = region.key(), region.key('second-1')
     assert isinstance(await region.claim('a', key), Granted)
-    await region.do(region.tasks['a'].finish(key, ANSWER))
+    await region.run(region.tasks['a'].finish(key, ANSWER))
     assert isinstance(await region.claim('a', second), Granted)
     for name in region.vms:
         region.kill(name)
@@ -315,29 +316,29 @@
         await region.start(name)
     await region.network.advance(0.5)
     assert await region.claim('b', key) == AlreadyAnswered(ANSWER)
-    # The VM that ran it has restarted: nobody can say any more how it ended.
+    # The VM that ran the call has restarted, so its outcome is unknown.
     assert isinstance(await region.claim('b', second), RunUnknown)
     assert isinstance(await region.claim('c', region.key('3rd-key-1')), Granted)
 
 
-async def test_keys_live_one_to_two_epochs_and_memory_is_given_back():
-    """A caller resends a key an hour later.
+async def test_keys_last_one_to_two_epochs_and_their_memory_is_freed():
+    """A caller resends a key after its claim was dropped.
 
-    Its claim is dropped by then; it must be refused, not run.
+    The resend must be refused and not run.
     """
     region = await Region(3).start_all()
-    early = region.key()
+    old_key = region.key()
     await region.network.advance(1.0)
-    await region.claim('a', early)
+    await region.claim('a', old_key)
     timer = region.network.timer
     for _ in range(2):
         timer.advance(EPOCH_S / 2)
         await region.network.advance(3.0)
-        outcome = await region.claim('b', early, timeout_s=0.2)
+        outcome = await region.claim('b', old_key, timeout_s=0.2)
         assert outcome == InProgress('a')
     timer.advance(EPOCH_S)
     await region.network.advance(3.0)
-    assert isinstance(await region.claim('b', early), KeyExpired)
+    assert isinstance(await region.claim('b', old_key), KeyExpired)
     assert all(
         holder.store.count == 0
         for task in region.tasks.values()
@@ -361,11 +362,11 @@
         ('split.1.7.caller-1', NoMajority),
     ],
 )
-async def test_keys_that_no_directory_gave_run_nothing(key, expected):
-    """A caller makes up a key, or one of an epoch that has not begun.
+async def test_forged_keys_are_not_granted(key, expected):
+    """A caller forges a key or uses an epoch that has not begun.
 
-    A made-up epoch must not move the holders' epoch either, which would end
-    the life of everyone else's keys.
+    A forged epoch must not advance the holders' epoch either, which would
+    expire the keys of all other callers.
     """
     region = await Region(3).start_all()
     outcome = await region.claim('a', key, timeout_s=0.2)
@@ -374,7 +375,7 @@
 
 
 async def test_claims_over_real_sockets():
-    """Three VMs on loopback: a claim, a parallel one, and the kept answer."""
+    """Three VMs on loopback: concurrent claims, then the stored answer."""
     async with AsyncExitStack() as stack:
         vms, tasks = [], []
         for number, name in enumerate('abc'):
@@ -390,7 +391,7 @@
             stack.push_async_callback(task.close)
             vms.append(vm)
             tasks.append(task)
-        sessions = tuple(known.session for known in tasks)
+        sessions = tuple(started.session for started in tasks)
         holders = HolderSet('split', 1, ('a', 'b', 'c'), sessions)
         for task in tasks:
             task.apply_revision(make_revision(tuple(vms), (holders,)))
@@ -399,7 +400,7 @@
                 await asyncio.sleep(0.02)
             key = f'{tasks[0].stamp()}.caller-1'
             outcomes = await asyncio.gather(
-                *(asker.claim(key, DIGEST, 0.5) for asker in tasks),
+                *(claimant.claim(key, DIGEST, 0.5) for claimant in tasks),
             )
             kinds = [type(outcome) for outcome in outcomes]
             assert kinds.count(Granted) == 1
@@ -408,30 +409,29 @@
             assert again == AlreadyAnswered(ANSWER)
 
 
-async def test_new_holder_set_leaves_callers_no_moment_without_a_stamp():
+async def test_key_stamp_is_available_throughout_a_holder_set_change():
     """A holder restarts and control commits a new set with its session.
 
-    Until a majority of the new set has been heard, the directory goes on
-    giving the stamp before; without one, callers could file nothing.
+    Until a majority of the new set has replied, the directory continues to
+    issue the previous stamp. Without a stamp callers could not send keyed
+    calls.
     """
     region = await Region(3).start_all()
     await region.network.advance(3)
-    before = region.tasks['a'].stamp()
+    previous = region.tasks['a'].stamp()
     region.commit()
-    at_once = region.tasks['a'].stamp()
+    immediate = region.tasks['a'].stamp()
     await region.network.advance(3)
-    assert at_once == before
-    assert region.tasks['a'].stamp() > before
+    assert immediate == previous
+    assert region.tasks['a'].stamp() > previous
 
 
 @pytest.mark.parametrize('restarts', [False, True])
-async def test_resend_is_answered_at_once_where_the_vm_that_ran_it_is_gone(
-    restarts,
-):
-    """A VM is killed between the run of a call and the news of its end.
+async def test_resend_does_not_wait_for_a_vm_that_was_killed(restarts):
+    """A VM is killed after it ran a call and before it reported the result.
 
-    Resends at other VMs waited until their deadline for an answer that could
-    never come; now they are told at once that the outcome is unknown.
+    Resends at other VMs used to wait until their deadline for an answer that
+    could never arrive. They must get an unknown outcome immediately.
     """
     region = await Region(3).start_all()
     key = region.key()
@@ -440,23 +440,23 @@
     if restarts:
         await region.start('a')
         await region.network.advance(0.5)
-    before_s = region.network.timer.now()
+    started_s = region.network.timer.now()
     outcome = await region.claim('b', key, timeout_s=20.0)
     if restarts:
         assert isinstance(outcome, RunUnknown)
     else:
         assert outcome == InProgress('a', unresponsive=True)
-    assert region.network.timer.now() - before_s < 3
+    assert region.network.timer.now() - started_s < 3
 
 
 async def test_resend_waits_for_a_vm_that_still_runs_the_call():
-    """A caller resends while its call takes long at another VM."""
+    """A caller resends while its call is still running at another VM."""
     region = await Region(3).start_all()
     key = region.key()
     assert isinstance(await region.claim('a', key), Granted)
     resend = asyncio.ensure_future(region.tasks['b'].claim(key, DIGEST, 20.0))
     await region.network.advance(5.0)
     assert not resend.done()
-    await region.do(region.tasks['a'].finish(key, ANSWER))
+    await region.run(region.tasks['a'].finish(key, ANSWER))
     await region.network.advance(1.0)
     assert resend.result() == AlreadyAnswered(ANSWER)
--- a/godwitshunt/claims/tests/test_walks.py
+++ b/godwitshunt/claims/tests/test_walks.py
@@ -1,6 +1,7 @@
-"""Random walks over schedules: many more steps than the search, unshrunk.
+"""Random walks over schedules: many more steps than the stateful search.
 
-Each walk is named by its seed, so a failing one can be run again alone.
+Failing walks are not shrunk. Each walk is identified by its seed, so that a
+failing one can be repeated alone.
 """
 
 import os
@@ -8,8 +9,8 @@
 
 import pytest
 
-from godwitshunt.claims.tests.machine import (
-    ClaimMachine,
+from godwitshunt.claims.tests.simulation import (
+    ClaimSimulation,
     FromPeer,
     ToClaimant,
     ToHolder,
@@ -17,7 +18,7 @@
 )
 from godwitshunt.claims.verdicts import Claim
 
-# A longer run: GODWITSHUNT_WALKS=100000 pytest ...
+# For a longer run: GODWITSHUNT_WALKS=100000 pytest ...
 WALKS = int(os.environ.get('GODWITSHUNT_WALKS', '3000'))
 STEPS = 36
 
@@ -27,128 +28,141 @@
 
     def __init__(self, seed: int, count: int, journaled: frozenset) -> None:
         self.random = Random(seed)
-        self.machine = ClaimMachine(count, journaled)
-        self.machine.stamp(0)
+        self.simulation = ClaimSimulation(count, journaled)
+        self.simulation.add_key(0)
         self.steps = {
             self.vote: 10,
             self.deliver_any: 3,
             self.attempt: 3,
             self.restart: 2,
             self.pass_epoch: 1,
-            self.stamp: 1,
+            self.add_key: 1,
             self.finish: 0.2,
             self.time_out: 0.1,
         }
 
-    def go(self) -> None:
-        """Walk, and check after each step that nothing ran twice."""
+    def run(self) -> None:
+        """Take all steps; check after each that no call ran twice."""
         if self.chance(50):
-            # The hardest keys are of an epoch that only one holder is in.
-            ahead = self.name()
-            self.machine.pass_epoch((ahead,))
-            self.machine.stamp(self.machine.holders[ahead].epoch)
+            # The hardest keys have an epoch that only one holder has reached.
+            ahead = self.choose_holder()
+            self.simulation.pass_epoch((ahead,))
+            self.simulation.add_key(self.simulation.holders[ahead].epoch)
         steps = list(self.steps)
         weights = list(self.steps.values())
         for step in self.random.choices(steps, weights, k=STEPS):
             step()
             self.use_grants()
-            assert max(self.machine.runs.values()) <= 1
+            assert max(self.simulation.runs.values()) <= 1
 
     def chance(self, percent: int) -> bool:
-        """Return True in so many of a hundred cases."""
+        """Return True with the given probability in percent."""
         return self.random.randrange(100) < percent
 
-    def name(self) -> str:
-        """Return a holder."""
-        return self.random.choice(self.machine.names)
+    def choose_holder(self) -> str:
+        """Return the name of a random holder."""
+        return self.random.choice(self.simulation.names)
 
-    def stamp(self) -> None:
-        """Stamp a key as a VM would that heard this holder."""
-        if len(self.machine.keys) < 3:
-            self.machine.stamp(self.machine.holders[self.name()].epoch)
+    def add_key(self) -> None:
+        """Create a key with the epoch of a random holder."""
+        if len(self.simulation.keys) < 3:
+            self.simulation.add_key(
+                self.simulation.holders[self.choose_holder()].epoch
+            )
 
     def attempt(self) -> None:
-        """Attempt the newest key, mostly."""
-        place = self.random.choice((-1, -1, 0))
-        unique = 1 + 100 * self.random.randrange(99) + len(self.machine.trials)
-        if len(self.machine.trials) < 8:
-            self.machine.begin(self.machine.keys[place], unique, b'a')
+        """Start an attempt, mostly on the newest key."""
+        position = self.random.choice((-1, -1, 0))
+        unique = (
+            1 + 100 * self.random.randrange(99) + len(self.simulation.attempts)
+        )
+        if len(self.simulation.attempts) < 8:
+            self.simulation.start_attempt(
+                self.simulation.keys[position], unique, b'a'
+            )
 
     def vote(self) -> None:
-        """Deliver a claim, and its answer at once."""
+        """Deliver a claim and, mostly, its answer immediately."""
         self.deliver(
             message
-            for message in self.machine.bag
+            for message in self.simulation.in_flight
             if isinstance(message, ToHolder)
             and isinstance(message.request, Claim)
         )
-        newest = self.machine.bag[-1] if self.machine.bag else None
+        newest = (
+            self.simulation.in_flight[-1] if self.simulation.in_flight else None
+        )
         if isinstance(newest, ToClaimant) and self.chance(90):
-            self.machine.bag.pop()
-            self.machine.deliver(newest)
+            self.simulation.in_flight.pop()
+            self.simulation.deliver(newest)
 
     def deliver_any(self) -> None:
-        """Deliver any message; some come again."""
-        self.deliver(self.machine.bag)
+        """Deliver any message; some stay in flight for a repeat."""
+        self.deliver(self.simulation.in_flight)
 
     def deliver(self, messages) -> None:
-        """Deliver one of some messages."""
+        """Deliver one of the given messages."""
         options = list(messages)
         if options:
             message = self.random.choice(options)
             if self.chance(95):
-                self.machine.bag.remove(message)
-            self.machine.deliver(message)
+                self.simulation.in_flight.remove(message)
+            self.simulation.deliver(message)
 
     def restart(self) -> None:
-        """Restart a holder; mostly it recovers at once, hearing some."""
-        holders = self.machine.holders.values()
-        forgot = [holder.name for holder in holders if holder.recovering]
-        # Two that forget at once mostly end all votes: a walk goes on longer
-        # where the first recovers before the next restarts.
-        name = forgot[0] if forgot and self.chance(95) else self.name()
-        if name not in forgot:
-            self.machine.restart(name)
-        self.machine.ask_peers(name)
-        asked = not self.chance(10)
-        while asked:
-            asked = [
+        """Restart a holder; mostly it recovers at once from some replies."""
+        holders = self.simulation.holders.values()
+        recovering = [holder.name for holder in holders if holder.recovering]
+        # Two holders that recover at the same time mostly end all voting. A
+        # walk votes longer if one recovers before the next restarts.
+        name = (
+            recovering[0]
+            if recovering and self.chance(95)
+            else self.choose_holder()
+        )
+        if name not in recovering:
+            self.simulation.restart(name)
+        self.simulation.start_recovery(name)
+        pending = not self.chance(10)
+        while pending:
+            pending = [
                 message
-                for message in self.machine.bag
+                for message in self.simulation.in_flight
                 if isinstance(message, ToPeer | FromPeer)
-                and message.life == self.machine.lives[name]
+                and message.restart_count
+                == self.simulation.restart_counts[name]
                 and name in {message.holder, message.sender}
             ]
-            for message in asked:
-                self.machine.bag.remove(message)
+            for message in pending:
+                self.simulation.in_flight.remove(message)
                 if self.chance(97):
-                    self.machine.deliver(message)
+                    self.simulation.deliver(message)
 
     def pass_epoch(self) -> None:
-        """Let an epoch pass at some holders."""
-        names = self.machine.names
+        """Let an epoch elapse at some holders."""
+        names = self.simulation.names
         count = self.random.randint(1, len(names))
-        self.machine.pass_epoch(tuple(self.random.sample(names, count)))
+        self.simulation.pass_epoch(tuple(self.random.sample(names, count)))
 
     def use_grants(self) -> None:
-        """Run what was granted; some connections fail."""
-        for place, trial in enumerate(self.machine.trials):
-            if trial.state == 'granted' and self.chance(5):
-                self.machine.give_up(place)
-            elif trial.state == 'granted':
-                self.machine.run(place)
+        """Run granted attempts; withdraw some on a failed connection."""
+        for attempt_index, simulated in enumerate(self.simulation.attempts):
+            if simulated.state == 'granted' and self.chance(5):
+                self.simulation.withdraw(attempt_index)
+            elif simulated.state == 'granted':
+                self.simulation.run(attempt_index)
 
     def finish(self) -> None:
-        """Tell holders of an answer."""
-        for place, trial in enumerate(self.machine.trials):
-            if trial.state == 'ran':
-                self.machine.finish(place)
+        """Send the answers of attempts that ran to the holders."""
+        for attempt_index, simulated in enumerate(self.simulation.attempts):
+            if simulated.state == 'ran':
+                self.simulation.finish(attempt_index)
 
     def time_out(self) -> None:
-        """Give up an attempt."""
-        for place, trial in enumerate(self.machine.trials):
-            if trial.state == 'claiming':
-                self.machine.give_up(place)
+        """Withdraw the first undecided attempt."""
+        for attempt_index, simulated in enumerate(self.simulation.attempts):
+            if simulated.state == 'claiming':
+                self.simulation.withdraw(attempt_index)
                 return
 
 
@@ -157,10 +171,10 @@
     [(2, ''), (3, ''), (3, 'h0'), (4, ''), (5, '')],
 )
 def test_no_walk_runs_a_call_twice(count, journaled):
-    """Holders restart and forget, messages come late, twice or never."""
+    """Holders restart and lose votes; messages arrive late, twice or never."""
     holders = frozenset(journaled.split())
     for seed in range(WALKS):
         try:
-            Walk(seed, count, holders).go()
+            Walk(seed, count, holders).run()
         except AssertionError:
             pytest.fail(f'walk {seed} over {count} holders ran a call twice')
--- a/godwitshunt/claims/verdicts.py
+++ b/godwitshunt/claims/verdicts.py
@@ -1,24 +1,24 @@
-"""What a holder is asked, and what it answers."""
+"""Requests to a holder and its answers."""
 
 from dataclasses import dataclass
 from enum import IntEnum
 
+from godwitshunt.claims.holder_status import HolderStatus
 from godwitshunt.claims.keys import ClaimKey
 from godwitshunt.claims.messages import RunUnknown, StoredAnswer
-from godwitshunt.claims.standing import Standing
 
 
 @dataclass(frozen=True)
 class Attempt:
-    """One attempt of one VM to run a call.
+    """One attempt by one VM to run a call.
 
     Parameters
     ----------
     number : int
-        Drawn at random for each attempt; of two that split the votes, the
-        higher goes on.
+        Random number. Of attempts that split the votes, the one with the
+        highest number continues.
     request_digest : bytes
-        Digest of the request, equal for true resends.
+        Digest of the request, equal for resends.
     """
 
     key: ClaimKey
@@ -29,43 +29,59 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """Record the attempt, unless another one is recorded."""
+    """Record the attempt unless another one is recorded."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True)
 class Query:
-    """Tell what is recorded, and record nothing."""
+    """Return what is recorded without recording anything."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True)
 class Release:
-    """Forget the attempt: it has not run and never will."""
+    """Discard the attempt: it has not run and never will."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True)
 class Finish:
-    """The attempt ran, and this came of it."""
+    """Record the run result of an attempt that ran or may have run."""
 
     attempt: Attempt
-    ending: StoredAnswer | RunUnknown
+    run_result: StoredAnswer | RunUnknown
 
 
 HolderRequest = Claim | Query | Release | Finish
 
 
 class Verdict(IntEnum):
-    """A holder's answer.
+    """A holder's decision on a request.
 
-    `granted` to a claim: recorded. `held`: by another attempt. `free`: by
-    none. `answered`, `unknown`: an attempt ran. `reused`: by another request.
-    `expired`: below the floor, so that claims may have been dropped. `done`:
-    a release or a finish was recorded. `abstained`: it cannot tell.
+    Attributes
+    ----------
+    granted
+        The claim is recorded.
+    held
+        Another attempt is recorded for the key.
+    free
+        No attempt is recorded for the key.
+    answered
+        An attempt ran and its answer is stored.
+    unknown
+        An attempt may have run and no answer is stored.
+    reused
+        The key is recorded for a different request.
+    expired
+        The key's epoch is below the floor epoch; its claims may be dropped.
+    done
+        The release or run result is recorded.
+    abstained
+        The holder cannot decide.
     """
 
     granted = 1
@@ -81,20 +97,21 @@
 
 @dataclass(frozen=True)
 class HolderAnswer:
-    """A holder's verdict and what belongs to it.
+    """A holder's verdict and its details.
 
     Parameters
     ----------
-    standing : Standing or None
-        The holder's standing when it gave the verdict.
+    holder_status : HolderStatus or None
+        The holder's status when it gave the verdict.
     vm, attempt : str, int
-        Whose attempt is recorded, for `held`.
-    ending : StoredAnswer, RunUnknown or None
-        What came of the attempt, for `answered` and `unknown`.
+        VM and number of the recorded attempt, for `held`, `answered` and
+        `unknown`.
+    run_result : StoredAnswer, RunUnknown or None
+        Run result of the attempt, for `answered` and `unknown`.
     """
 
     verdict: Verdict
-    standing: Standing | None = None
+    holder_status: HolderStatus | None = None
     vm: str = ''
     attempt: int = 0
-    ending: StoredAnswer | RunUnknown | None = None
+    run_result: StoredAnswer | RunUnknown | None = None
--- a/godwitshunt/claims/wire.py
+++ b/godwitshunt/claims/wire.py
@@ -1,15 +1,15 @@
-"""Data classes of claims to and from their wire structs."""
+"""Conversion of claim data classes to and from wire structs."""
 
 from godwitshunt.claims.gen.wire import ttypes
 from godwitshunt.claims.holder import (
     ClaimChanged,
     HolderChange,
-    StandingChanged,
+    HolderStatusChanged,
 )
+from godwitshunt.claims.holder_status import HolderStatus
 from godwitshunt.claims.keys import ClaimKey, parse_key
 from godwitshunt.claims.messages import RunUnknown, StoredAnswer
 from godwitshunt.claims.records import ClaimRecord
-from godwitshunt.claims.standing import Standing
 from godwitshunt.claims.verdicts import (
     Attempt,
     Finish,
@@ -19,30 +19,30 @@
 )
 from godwitshunt.exceptions import FrameError
 
-Ending = StoredAnswer | RunUnknown | None
+RunResult = StoredAnswer | RunUnknown | None
 
 
-def answer_to_wire(ending: Ending) -> ttypes.Answer | None:
-    """Return a kept answer's struct; None for other endings."""
-    if not isinstance(ending, StoredAnswer):
+def answer_to_wire(run_result: RunResult) -> ttypes.Answer | None:
+    """Return the struct of a stored answer, or None for other results."""
+    if not isinstance(run_result, StoredAnswer):
         return None
     return ttypes.Answer(
-        status=ending.status,
-        headers=[ttypes.Header(*header) for header in ending.headers],
-        body=ending.body,
+        status=run_result.status,
+        headers=[ttypes.Header(*header) for header in run_result.headers],
+        body=run_result.body,
     )
 
 
-def unknown_to_wire(ending: Ending) -> str | None:
-    """Return why no answer is kept; None for other endings."""
-    return ending.reason if isinstance(ending, RunUnknown) else None
+def unknown_to_wire(run_result: RunResult) -> str | None:
+    """Return why no answer is stored, or None for other results."""
+    return run_result.reason if isinstance(run_result, RunUnknown) else None
 
 
-def ending_from_wire(
+def run_result_from_wire(
     answer: ttypes.Answer | None,
     unknown: str | None,
-) -> Ending:
-    """Read what came of an attempt."""
+) -> RunResult:
+    """Decode a run result, or return None if there is none."""
     if answer is not None:
         return StoredAnswer(
             status=answer.status or 0,
@@ -56,27 +56,27 @@
 
 
 def request_to_wire(request: HolderRequest, epoch: int) -> ttypes.ClaimCall:
-    """Return the struct of a claimant's request."""
+    """Encode a claimant's request."""
     attempt = request.attempt
-    ending = request.ending if isinstance(request, Finish) else None
+    run_result = request.run_result if isinstance(request, Finish) else None
     return ttypes.ClaimCall(
         key=attempt.key.text,
         request_digest=attempt.request_digest,
         vm=attempt.vm,
         attempt=attempt.number,
         epoch=epoch,
-        answer=answer_to_wire(ending),
-        unknown=unknown_to_wire(ending),
+        answer=answer_to_wire(run_result),
+        unknown=unknown_to_wire(run_result),
     )
 
 
 def attempt_from_wire(wire: ttypes.ClaimCall) -> Attempt:
-    """Read whose attempt a request is about.
+    """Decode the attempt that a request refers to.
 
     Raises
     ------
     FrameError
-        Where a field is missing or the key is malformed.
+        If a field is missing or the key is malformed.
     """
     key = parse_key(wire.key or '').ok()
     if key is None or not wire.attempt or wire.epoch is None:
@@ -89,56 +89,64 @@
     )
 
 
-def standing_to_wire(standing: Standing | None) -> ttypes.Standing | None:
-    """Return a standing's struct."""
-    if standing is None:
+def status_to_wire(status: HolderStatus | None) -> ttypes.Standing | None:
+    """Encode a holder status."""
+    if status is None:
         return None
     return ttypes.Standing(
-        incarnation=standing.incarnation,
-        known=dict(standing.known),
-        epoch=standing.epoch,
+        incarnation=status.incarnation,
+        known=dict(status.known_incarnations),
+        epoch=status.epoch,
     )
 
 
-def standing_from_wire(wire: ttypes.Standing | None) -> Standing | None:
-    """Read a standing."""
+def status_from_wire(wire: ttypes.Standing | None) -> HolderStatus | None:
+    """Decode a holder status.
+
+    Raises
+    ------
+    FrameError
+        If a field is missing.
+    """
     if wire is None:
         return None
     if wire.incarnation is None or wire.epoch is None:
         raise FrameError('Standing: a field is missing')
-    return Standing(wire.incarnation, wire.known or {}, wire.epoch)
+    return HolderStatus(wire.incarnation, wire.known or {}, wire.epoch)
 
 
 def holder_answer_to_wire(answer: HolderAnswer) -> ttypes.ClaimReply:
-    """Return the struct of a holder's answer."""
+    """Encode a holder's answer."""
     return ttypes.ClaimReply(
         verdict=answer.verdict,
-        standing=standing_to_wire(answer.standing),
+        standing=status_to_wire(answer.holder_status),
         vm=answer.vm or None,
         attempt=answer.attempt or None,
-        answer=answer_to_wire(answer.ending),
-        reason=unknown_to_wire(answer.ending),
+        answer=answer_to_wire(answer.run_result),
+        reason=unknown_to_wire(answer.run_result),
     )
 
 
 def holder_answer_from_wire(wire: ttypes.ClaimReply) -> HolderAnswer:
-    """Read a holder's answer.
+    """Decode a holder's answer.
 
     Raises
     ------
     FrameError
-        Where the verdict is none that is known.
+        If the verdict is not a known one.
     """
     try:
         verdict = Verdict(wire.verdict)
     except ValueError:
-        raise FrameError(f'ClaimReply: verdict {wire.verdict}') from None
+        raise FrameError(
+            f'ClaimReply: unknown verdict {wire.verdict}'
+        ) from None
     return HolderAnswer(
         verdict=verdict,
-        standing=standing_from_wire(wire.standing),
+        holder_status=status_from_wire(wire.standing),
         vm=wire.vm or '',
         attempt=wire.attempt or 0,
-        ending=ending_from_wire(wire.answer, wire.reason),
+        run_result=run_result_from_wire(wire.answer, wire.reason),
     )
 
 
@@ -147,34 +155,34 @@
     generation: int,
     change: HolderChange,
 ) -> ttypes.JournalRecord:
-    """Return a journal record."""
+    """Encode a change as a journal record."""
     wire = ttypes.JournalRecord(region=region, generation=generation)
     match change:
-        case StandingChanged(standing, floor):
-            wire.standing = standing_to_wire(standing)
-            wire.floor = floor
+        case HolderStatusChanged(status, floor_epoch):
+            wire.standing = status_to_wire(status)
+            wire.floor = floor_epoch
         case ClaimChanged(key, record):
             wire.key = key.text
             wire.request_digest = record.request_digest
             wire.vm = record.vm
             wire.attempt = record.attempt
-            wire.answer = answer_to_wire(record.ending)
-            wire.unknown = unknown_to_wire(record.ending)
+            wire.answer = answer_to_wire(record.run_result)
+            wire.unknown = unknown_to_wire(record.run_result)
             wire.withdrawn = list(record.withdrawn) or None
     return wire
 
 
 def change_from_wire(wire: ttypes.JournalRecord) -> HolderChange:
-    """Read a journal record.
+    """Decode a journal record.
 
     Raises
     ------
     FrameError
-        Where a field is missing.
+        If a field is missing.
     """
-    standing = standing_from_wire(wire.standing)
-    if standing is not None:
-        return StandingChanged(standing, wire.floor or 0)
+    status = status_from_wire(wire.standing)
+    if status is not None:
+        return HolderStatusChanged(status, wire.floor or 0)
     key: ClaimKey | None = parse_key(wire.key or '').ok()
     if key is None:
         raise FrameError('JournalRecord: neither standing nor key')
@@ -184,7 +192,7 @@
             request_digest=wire.request_digest or b'',
             vm=wire.vm or '',
             attempt=wire.attempt or 0,
-            ending=ending_from_wire(wire.answer, wire.unknown),
+            run_result=run_result_from_wire(wire.answer, wire.unknown),
             withdrawn=tuple(wire.withdrawn or ()),
         ),
     )
