--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -21,9 +21,9 @@
     LimitPool,
     Standing,
     fixed_shares,
-    usable_part,
+    usable_share,
 )
-from godwitshunt.organisations.limits import STALE_S
+from godwitshunt.organisations.limits import PEER_TIMEOUT_S
 from godwitshunt.routing.limits import Admitted, CallerLimits, CallerQuota
 
 NAME = 'wards'
@@ -102,7 +102,7 @@
     trouble: Trouble
     pools: dict[int, LimitPool] = field(default_factory=dict)
     starts: dict[int, int] = field(default_factory=dict)
-    heard_s: dict[tuple[int, int], float] = field(default_factory=dict)
+    peers_seen_s: dict[tuple[int, int], float] = field(default_factory=dict)
     next_s: float = 0.0
 
     def __post_init__(self) -> None:
@@ -116,7 +116,7 @@
         self.pools[region].configure({NAME: LIMIT}, now_s, starts=True)
         self.starts[region] = self.starts.get(region, 0) + 1
         for other in range(REGIONS):
-            self.heard_s.pop((region, other), None)
+            self.peers_seen_s.pop((region, other), None)
 
     def ask(self, vm: int, now_s: float) -> bool:
         """Ask the picker of the VM's region."""
@@ -126,16 +126,17 @@
             str(other)
             for other in range(REGIONS)
             if other == region
-            or now_s - self.heard_s.get((region, other), -STALE_S) < STALE_S
+            or now_s - self.peers_seen_s.get((region, other), -PEER_TIMEOUT_S)
+            < PEER_TIMEOUT_S
         }
         standing = Standing(
-            part=usable_part(str(region), names, tuple(names), heard),
+            part=usable_share(str(region), names, tuple(names), heard),
             share=1 / REGIONS,
-            heard_s=min(
+            peers_seen_s=min(
                 (
-                    self.heard_s[region, int(other)]
+                    self.peers_seen_s[region, int(other)]
                     for other in heard
-                    if (region, int(other)) in self.heard_s
+                    if (region, int(other)) in self.peers_seen_s
                 ),
                 default=inf,
             ),
@@ -160,7 +161,7 @@
             asof_s = now_s - WAY_S
             share = shares[str(other)]
             self.pools[region].hear(source, sums, asof_s, share)
-            self.heard_s[region, other] = asof_s
+            self.peers_seen_s[region, other] = asof_s
 
 
 @dataclass
@@ -194,7 +195,7 @@
         heard = [
             other
             for other in range(REGIONS)
-            if self.trouble.hears(region_of(vm), other, now_s - STALE_S)
+            if self.trouble.hears(region_of(vm), other, now_s - PEER_TIMEOUT_S)
         ]
         standing = Standing(part=len(heard) / REGIONS)
         pool = self.pools[vm]
@@ -261,11 +262,11 @@
         self.next_s = now_s + GOSSIP_S
         for vm, one in enumerate(self.limits):
             one.forget(now_s)
-            for name in one.peers_to_tell(now_s):
+            for name in one.peers_to_notify(now_s):
                 other = int(name)
                 here, there = region_of(vm), region_of(other)
                 if self.trouble.hears(here, there, now_s):
-                    news = one.compose(name, now_s)
+                    news = one.compose_update(name, now_s)
                     self.limits[other].receive(str(vm), news, now_s)
 
 
--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -23,17 +23,17 @@
 )
 from benchmarks.sheet_engine import PALLIKKARA, Job, SheetEngine
 from godwitshunt.picking.choices import (
-    Ask,
+    ChoiceRequest,
     HandOver,
     SendHere,
 )
-from godwitshunt.picking.choosing import (
+from godwitshunt.picking.chooser import (
     Chooser,
 )
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import Load, RegistryView
-from godwitshunt.registry.prefixes import PrefixRead, PrefixTable
+from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.routing.selection import Demand
 
 Event = Callable[[], None]
@@ -165,14 +165,14 @@
         demand = job.demand
         homes = self.pattern.short_homes
         quiet = frozenset(self.pattern.engines).difference(homes)
-        ask = Ask(
+        ask = ChoiceRequest(
             route=self.route_of(demand),
             service=SERVICE,
             demand=demand,
             remaining_s=WAITS_S,
             now_s=self.now_s,
             local=local,
-            quiet_regions=frozenset() if demand.urgent else quiet,
+            low_urgency_regions=frozenset() if demand.urgent else quiet,
             holders=vm.prefixes.holders(demand.shared_key, self.now_s),
         )
         view = replace(self.view, loads=self.heard.get(id(vm), {}))
@@ -240,10 +240,10 @@
         health = vm.upstreams.of(name)
         if job.first_s is not None and not is_read:
             is_read = True
-            health.show_life(id(job), unread, self.now_s)
+            health.record_first_bytes(id(job), unread, self.now_s)
             if job.demand.has_affinity:
                 self.tell(
-                    vm, PrefixRead(job.demand.shared_key, name, self.now_s)
+                    vm, CachedPrefix(job.demand.shared_key, name, self.now_s)
                 )
         if job.ended_s is not None:
             health.end(id(job), unread)
@@ -253,7 +253,7 @@
             lambda: self.follow(vm, name, job, unread, is_read=is_read),
         )
 
-    def tell(self, vm: Vm, read: PrefixRead) -> None:
+    def tell(self, vm: Vm, read: CachedPrefix) -> None:
         """Let a VM know of a read, and the others a little later."""
         vm.prefixes.note(read)
         if not self.pattern.told:
--- a/godwitshunt/ingress/account.py
+++ b/godwitshunt/ingress/account.py
@@ -11,7 +11,7 @@
     Limited,
     NoPlace,
     SendHere,
-    describe,
+    describe_candidate,
 )
 from godwitshunt.telemetry import Metrics, log_change
 
@@ -70,17 +70,17 @@
         """Note a choice with its candidates, and how old its news was."""
         self.control_age_s = control_age_s
         match choice:
-            case SendHere(seen=seen):
-                place = seen.told.incarnation
+            case SendHere(upstream=upstream):
+                place = upstream.told.incarnation
             case HandOver(entry=entry):
                 place = f'{entry.region}/{entry.name}'
             case NoPlace(overloaded=overloaded):
                 place = 'overloaded' if overloaded else 'no upstream'
             case Limited():
                 place = 'limited'
-        candidates = ' '.join(map(describe, choice.ranked))
-        if isinstance(choice, NoPlace) and choice.left_out:
-            candidates = f'none: {", ".join(choice.left_out)}'
+        candidates = ' '.join(map(describe_candidate, choice.ranked))
+        if isinstance(choice, NoPlace) and choice.exclusions:
+            candidates = f'none: {", ".join(choice.exclusions)}'
         candidates = candidates or 'none'
         self.choices.append(f'{place} of {candidates}')
 
@@ -93,7 +93,7 @@
         became = 'ended' if outcome is None else type(outcome).__name__
         self.attempts.append(f'{place}:{became}')
 
-    def note_first(self, now_s: float) -> None:
+    def record_first_try(self, now_s: float) -> None:
         """Note when the caller gets the first of its answer."""
         if self.first_s is None:
             self.first_s = now_s - self.request.arrived_s
--- a/godwitshunt/ingress/in_force.py
+++ b/godwitshunt/ingress/active_revision.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class InForce:
+class ActiveRevision:
     """A revision with its routes, services and keys by name.
 
     Parameters
@@ -36,7 +36,9 @@
             {service.name: service for service in manifest.services},
         )
 
-    def quiet_regions(self, route: Route, service: Service) -> frozenset[str]:
+    def low_urgency_regions(
+        self, route: Route, service: Service
+    ) -> frozenset[str]:
         """Return where nothing more urgent than a route has a home."""
         return self.table.quiet.get((service.name, route.rank), frozenset())
 
--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -10,10 +10,10 @@
 
 from godwitshunt.exchange.problems import Outcome, Problem, ProblemKind
 from godwitshunt.exchange.requests import HttpRequest
-from godwitshunt.ingress.authority import Authority
+from godwitshunt.ingress.active_revision import ActiveRevision
+from godwitshunt.ingress.authorization import Authorizer
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.headers import keep_sendable
-from godwitshunt.ingress.in_force import InForce
 from godwitshunt.ingress.prompts import Prompt
 from godwitshunt.ingress.requests import (
     RoutedRequest,
@@ -58,9 +58,9 @@
     ----------
     names : HeaderNames
         Headers that callers speak.
-    in_force : callable
+    active_revision : callable
         Returns the revision in force; None before the first.
-    authority : Authority
+    authorizer : Authorizer
         Whether what is known of keys still holds.
     random : random.Random
         Draws a service by the route's weights.
@@ -69,8 +69,8 @@
     """
 
     names: HeaderNames
-    in_force: Callable[[], InForce | None]
-    authority: Authority
+    active_revision: Callable[[], ActiveRevision | None]
+    authorizer: Authorizer
     random: Random
     is_young: Callable[[], bool] = never
 
@@ -90,7 +90,7 @@
         with suppress(TimeoutError):
             async with asyncio.timeout(KEY_WAIT_S):
                 found = await self.find_with_news(http, now_s)
-        if self.is_unknown_key(found) and not self.authority.is_newest:
+        if self.is_unknown_key(found) and not self.authorizer.is_newest:
             told = 'whether the key holds could not be found out'
             return refused(ProblemKind.unproven, told)
         return found
@@ -105,9 +105,9 @@
         A control VM may itself lag behind the one that acknowledged a key.
         """
         while True:
-            await self.authority.renew()
+            await self.authorizer.renew()
             found = self.find(http, now_s)
-            is_certain = self.authority.is_newer_than(now_s)
+            is_certain = self.authorizer.is_newer_than(now_s)
             if is_certain or not self.may_be_behind(found):
                 return found
             await asyncio.sleep(KEY_ASK_PERIOD_S)
@@ -131,16 +131,16 @@
         now_s: float,
     ) -> Result[RoutedRequest, Problem]:
         """Find a request's route, organisation and service."""
-        in_force = self.in_force()
-        if in_force is None:
+        active_revision = self.active_revision()
+        if active_revision is None:
             told = 'no revision is in force here yet'
             return refused(ProblemKind.not_ready, told)
         host = host_name(http.header(b'host'))
-        route = in_force.table.match(host, http.path)
+        route = active_revision.table.match(host, http.path)
         if route is None:
             told = 'no route has this host and path'
             return refused(ProblemKind.not_found, told)
-        found = self.holder(http, route, in_force)
+        found = self.holder(http, route, active_revision)
         if isinstance(found, Err):
             return found
         return self.route(http, route, found.ok_value, now_s)
@@ -149,12 +149,12 @@
         self,
         http: HttpRequest,
         route: Route,
-        in_force: InForce,
+        active_revision: ActiveRevision,
     ) -> Result[Holder, Problem]:
         """Return whose a request is."""
         if not route.keyed:
             return Ok(Holder())
-        if not self.authority.is_proven:
+        if not self.authorizer.is_proven:
             told = 'it is not known here which keys still hold'
             return refused(ProblemKind.unproven, told)
         keys = [
@@ -163,7 +163,7 @@
         if len(keys) != 1:
             told = f'{len(keys)} keys were given and not one'
             return refused(ProblemKind.unauthorized, told)
-        organisation = in_force.table.keys.find(keys[0])
+        organisation = active_revision.table.keys.find(keys[0])
         if organisation is None:
             told = 'the key is not known'
             return refused(ProblemKind.unauthorized, told)
@@ -177,13 +177,13 @@
         now_s: float,
     ) -> Result[RoutedRequest, Problem]:
         """Return a request with all that is known of it."""
-        in_force = self.in_force()
-        bound = in_force.table.bind(route, holder.organisation)
+        active_revision = self.active_revision()
+        bound = active_revision.table.bind(route, holder.organisation)
         if bound is None:
             told = 'its route and its organisation have no home in common'
             return refused(ProblemKind.no_upstream, told)
         name = pick_service(bound, self.random.random())
-        service = in_force.services[name]
+        service = active_revision.services[name]
         prompt = prompt_of(http, self.names)
         if is_too_long(prompt, service):
             told = 'its prompt is longer than the memory of any upstream'
@@ -200,8 +200,10 @@
                 arrived_s=now_s,
                 ends_s=now_s + waits_s,
                 resume_after=resume_after(http, self.names),
-                quiet_regions=in_force.quiet_regions(bound, service),
-                level=in_force.table.level(bound, holder.organisation),
+                low_urgency_regions=active_revision.low_urgency_regions(
+                    bound, service
+                ),
+                level=active_revision.table.level(bound, holder.organisation),
                 organisation=holder.organisation,
                 key_sha256=holder.key_sha256,
             ),
--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -3,13 +3,13 @@
 from random import Random
 
 from godwitshunt.exchange.upstream_pool import UpstreamPool
-from godwitshunt.ingress.authority import Authority
+from godwitshunt.ingress.authorization import Authorizer
+from godwitshunt.ingress.context import Budgets, IngressContext
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.parts import Budgets, IngressParts
 from godwitshunt.ingress.witness import CrashWitness
-from godwitshunt.picking.choosing import Chooser
+from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.chooser import Chooser
 from godwitshunt.picking.client import PickerClient
-from godwitshunt.picking.learner import Learner
 from godwitshunt.registry import RegistryWatch
 from godwitshunt.routing.cold_budget import ColdBounds, ColdBudget
 from godwitshunt.routing.retry_window import RetryBounds
@@ -18,7 +18,7 @@
 from godwitshunt.timer import Timer
 
 
-def make_parts(
+def make_context(
     settings: IngressSettings,
     cluster_key: bytes,
     names: HeaderNames,
@@ -26,7 +26,7 @@
     picker: PickerClient,
     timer: Timer,
     metrics: Metrics,
-) -> IngressParts:
+) -> IngressContext:
     """Return the parts of an entry VM, before any revision is in force."""
     upstreams = picker.reports.upstreams
     source = settings.http.host
@@ -37,17 +37,17 @@
         Random(),
         settings.away_s,
     )
-    parts = IngressParts(
+    context = IngressContext(
         settings=settings,
         names=names,
         cluster_key=cluster_key,
-        in_force=lambda: None,
-        authority=Authority.from_config(settings.bounds, timer.now),
+        active_revision=lambda: None,
+        authorizer=Authorizer.from_config(settings.bounds, timer.now),
         watch=watch,
         upstreams=upstreams,
         neighbours=picker.neighbours,
         chooser=chooser,
-        learner=Learner(upstreams, watch.view, watch.leave),
+        learner=Learner(upstreams, watch.view, watch.mark_replaced),
         picker=picker,
         budgets=make_budgets(settings, timer.now()),
         witness=CrashWitness(watch.quarantine, timer, source),
@@ -56,8 +56,8 @@
         timer=timer,
         metrics=metrics,
     )
-    chooser.filter.cold_room = parts.cold_room
-    return parts
+    chooser.filter.has_cold_capacity = context.has_cold_capacity
+    return context
 
 
 def make_budgets(settings: IngressSettings, now_s: float) -> Budgets:
--- a/godwitshunt/ingress/authority.py
+++ b/godwitshunt/ingress/authorization.py
@@ -10,9 +10,9 @@
 from typing import Self
 
 from godwitshunt.exchange.problems import ProblemKind
-from godwitshunt.ingress.in_force import InForce
+from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.requests import RoutedRequest
-from godwitshunt.organisations import ProofRule
+from godwitshunt.organisations import FreshnessRule
 from godwitshunt.settings import BoundSettings
 
 # A key that is not known after newer news is nobody's, where the news is of a
@@ -30,12 +30,12 @@
 
 
 @dataclass
-class Authority:
+class Authorizer:
     """What this VM may act on.
 
     Parameters
     ----------
-    rule : ProofRule
+    rule : FreshnessRule
         How long a proof holds.
     now_s : callable
         Returns monotonic seconds.
@@ -45,7 +45,7 @@
         Asks for a newer proof, and for newer revisions.
     """
 
-    rule: ProofRule
+    rule: FreshnessRule
     now_s: Callable[[], float]
     age_s: Callable[[], float] = always
     renew: Callable[[], Awaitable[None]] = ask_nobody
@@ -57,7 +57,7 @@
         now_s: Callable[[], float],
     ) -> Self:
         """Make the authority of a VM that asks nobody yet."""
-        return cls(ProofRule(bounds.revoke_s), now_s)
+        return cls(FreshnessRule(bounds.revoke_s), now_s)
 
     @property
     def is_proven(self) -> bool:
@@ -76,7 +76,7 @@
     def refusal(
         self,
         request: RoutedRequest,
-        in_force: InForce,
+        active_revision: ActiveRevision,
     ) -> ProblemKind | None:
         """Return why a request may not be sent now; None where it may.
 
@@ -88,7 +88,7 @@
             return None
         if not self.is_proven:
             return ProblemKind.unproven
-        keys = in_force.table.keys
+        keys = active_revision.table.keys
         if request.key_sha256:
             holds = keys.still_holds(organisation, request.key_sha256)
         else:
--- a/godwitshunt/ingress/parts.py
+++ b/godwitshunt/ingress/context.py
@@ -6,17 +6,17 @@
 from godwitshunt.exchange.upstream_pool import (
     UpstreamPool,
 )
-from godwitshunt.ingress.authority import Authority
+from godwitshunt.ingress.active_revision import ActiveRevision
+from godwitshunt.ingress.authorization import Authorizer
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.in_force import InForce
 from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.organisations import Standing
-from godwitshunt.picking.choices import Ask
-from godwitshunt.picking.choosing import (
+from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.choices import ChoiceRequest
+from godwitshunt.picking.chooser import (
     Chooser,
 )
 from godwitshunt.picking.client import PickerClient
-from godwitshunt.picking.learner import Learner
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.quarantine import Quarantine
@@ -46,14 +46,14 @@
 
 
 @dataclass
-class IngressParts:
+class IngressContext:
     """What every request is served with.
 
     Parameters
     ----------
-    in_force : callable
+    active_revision : callable
         Returns the revision in force; None before the first.
-    authority : Authority
+    authorizer : Authorizer
         Whether what is known of keys still holds.
     chooser : Chooser
         Chooses where the region's picker does not answer.
@@ -68,8 +68,8 @@
     settings: NodeSettings
     names: HeaderNames
     cluster_key: bytes
-    in_force: Callable[[], InForce | None]
-    authority: Authority
+    active_revision: Callable[[], ActiveRevision | None]
+    authorizer: Authorizer
     watch: RegistryWatch
     upstreams: Upstreams
     neighbours: Neighbours
@@ -96,7 +96,7 @@
         """
         regions = set(self.settings.domains.values())
         regions.add(self.settings.region)
-        part = 1 / len(regions) / self.neighbours.count_here()
+        part = 1 / len(regions) / self.neighbours.count_in_region()
         return Standing(part, part)
 
     def cold_share(self) -> float:
@@ -105,15 +105,17 @@
         Where the region has control VMs their pickers share it all; a VM that
         gave some besides could send more than the upstreams bear.
         """
-        if self.watch.has_control_here():
+        if self.watch.has_local_control():
             return 0.0
-        return 1 / self.neighbours.count_here()
+        return 1 / self.neighbours.count_in_region()
 
-    def cold_room(self, seen: UpstreamSeen, ask: Ask) -> bool:
+    def has_cold_capacity(
+        self, upstream: UpstreamSeen, ask: ChoiceRequest
+    ) -> bool:
         """Tell whether this VM may send a cold upstream one more request."""
         cold = ask.service.cold_start
         return cold is None or self.budgets.cold.has_room(
-            seen.told.incarnation,
+            upstream.told.incarnation,
             cold.requests_per_s,
             self.cold_share(),
             ask.now_s,
--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/learning.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass
 
 from godwitshunt.ingress.attempt import Attempt
+from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.outcomes import (
     NO_ATTEMPT,
     Answered,
@@ -12,10 +13,9 @@
     NotRun,
     Streamed,
 )
-from godwitshunt.ingress.parts import IngressParts
 from godwitshunt.ingress.requests import RoutedRequest
+from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.choices import HandOver, SendHere
-from godwitshunt.picking.shown import AttemptShown, Shown
 from godwitshunt.registry import UpstreamAnnounced
 from godwitshunt.telemetry import log_change
 
@@ -49,7 +49,7 @@
     @property
     def instance(self) -> str:
         """The upstream."""
-        return self.choice.seen.told.incarnation
+        return self.choice.upstream.told.incarnation
 
     @property
     def shown(self) -> Shown | None:
@@ -75,13 +75,13 @@
 class Lessons:
     """Learns from the attempts of one request, and tells the picker."""
 
-    parts: IngressParts
+    context: IngressContext
     request: RoutedRequest
 
     def of_upstream(self, made: UpstreamAttempt) -> None:
         """Learn from an attempt at an upstream of this region."""
         if isinstance(made.outcome, Lost):
-            self.note_loss(made, made.outcome)
+            self.record_loss(made, made.outcome)
         if isinstance(made.outcome, (Answered, Streamed, Failed)):
             self.note_survival()
         shown = made.shown
@@ -98,21 +98,21 @@
             unread_tokens=choice.unread_tokens,
             was_held_up=bool(choice.waiting_tokens) or choice.is_cold,
         )
-        now_s = self.parts.timer.now()
-        self.parts.learner.learn(told, self.request.service, now_s)
-        self.parts.picker.note_shown(told)
+        now_s = self.context.timer.now()
+        self.context.learner.record(told, self.request.service, now_s)
+        self.context.picker.report_attempt(told)
         if shown is Shown.answered:
             self.count_prompt(choice)
 
-    def note_loss(self, made: UpstreamAttempt, lost: Lost) -> None:
+    def record_loss(self, made: UpstreamAttempt, lost: Lost) -> None:
         """Note that an attempt ended without a whole answer.
 
         Repeats of a request have one fingerprint, whatever their ids. One
         that leaves ends as it said, whatever it runs.
         """
-        told = made.choice.seen.told
+        told = made.choice.upstream.told
         if made.attempt.closed and not self.leaves(told):
-            self.parts.witness.note_loss(
+            self.context.witness.record_loss(
                 self.request,
                 place_of(made.choice),
                 told.address,
@@ -132,14 +132,14 @@
 
     def leaves(self, told: UpstreamAnnounced) -> bool:
         """Tell whether an upstream said that it leaves."""
-        watch = self.parts.watch
+        watch = self.context.watch
         known = watch.view().upstreams.get(told.incarnation)
         is_draining = known is not None and known.told.draining
-        return is_draining or watch.is_over(told)
+        return is_draining or watch.has_ended(told)
 
     def note_survival(self) -> None:
         """Note a whole answer where upstreams were lost before."""
-        quarantine = self.parts.quarantine
+        quarantine = self.context.quarantine
         if quarantine.knows_length(len(self.request.http.body)):
             quarantine.clear(self.request.fingerprint)
 
@@ -147,9 +147,9 @@
         """Count whether a long prompt's shared parts were kept there."""
         prompt = self.request.prompt
         if prompt.worth_keeping:
-            self.parts.metrics.count(
+            self.context.metrics.count(
                 'ingress_long_prompts_total',
-                kept='yes' if choice.is_kept else 'no',
+                kept='yes' if choice.is_cached else 'no',
             )
 
     def of_vm(
@@ -166,11 +166,11 @@
         str or None
             The VM's name, or its region where the VM has no place there.
         """
-        now_s = self.parts.timer.now()
+        now_s = self.context.timer.now()
         entry = choice.entry
-        neighbours = self.parts.neighbours
+        neighbours = self.context.neighbours
         if isinstance(outcome, Lost) and attempt.closed:
-            self.parts.witness.note_loss(
+            self.context.witness.record_loss(
                 self.request,
                 place_of(choice),
                 entry.hop,
@@ -193,7 +193,7 @@
     An upstream's or an entry VM's next start is another one.
     """
     match choice:
-        case SendHere(seen=seen):
-            return seen.told.incarnation
+        case SendHere(upstream=upstream):
+            return upstream.told.incarnation
         case HandOver(entry=entry):
             return f'{entry.region}/{entry.name}~{entry.session}'
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -6,8 +6,8 @@
 
 from godwitshunt.ingress.learning import Lessons, UpstreamAttempt
 from godwitshunt.ingress.outcomes import Lost, NotRun, Streamed
-from godwitshunt.picking.learner import Learner
-from godwitshunt.picking.shown import AttemptShown, Shown
+from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing.upstream_health import UpstreamHealth
@@ -18,10 +18,12 @@
 
 def learner(in_flight: int) -> Learner:
     """Return a learner that knows one upstream with a load."""
-    told = SimpleNamespace(incarnation='i-1', slots=SLOTS, service='llm')
+    announcement = SimpleNamespace(
+        incarnation='i-1', slots=SLOTS, service='llm'
+    )
     others = Load(in_flight - in_flight // 2, 0)
     view = RegistryView(
-        upstreams={'i-1': SimpleNamespace(told=told)},
+        upstreams={'i-1': SimpleNamespace(announcement=announcement)},
         loads={'i-1': others},
     )
     known = Upstreams()
@@ -38,7 +40,7 @@
     made = UpstreamAttempt(None, attempt, outcome, None, 0.1)
     shown = AttemptShown('i-1', 'llm', made.shown)
     learned = learner(in_flight)
-    learned.learn(shown, SERVICE, now_s=1.0)
+    learned.record(shown, SERVICE, now_s=1.0)
     detector = learned.upstreams.outliers.get('llm')
     return detector is not None and detector.states['i-1'].failures > 0
 
@@ -92,7 +94,7 @@
         unread_tokens=8000,
         **changes,
     )
-    learned.learn(made, SERVICE, now_s=1.0)
+    learned.record(made, SERVICE, now_s=1.0)
     assert (speed.token_s < before_s) is learns
 
 
@@ -106,19 +108,21 @@
 )
 def test_what_waits_before_a_prompt_is_told_with_its_time(choice, held_up):
     """Whoever learns of the attempt does not know what the choice knew."""
-    told = []
+    announcement = []
     fields = {'waiting_tokens': 0.0, 'is_cold': False, **choice}
     chosen = SimpleNamespace(
-        seen=SimpleNamespace(told=SimpleNamespace(incarnation='i-1')),
+        upstream=SimpleNamespace(
+            announcement=SimpleNamespace(incarnation='i-1')
+        ),
         predicted_s=0.1,
         unread_tokens=8000,
-        is_kept=False,
+        is_cached=False,
         **fields,
     )
-    parts = SimpleNamespace(
+    context = SimpleNamespace(
         timer=SimpleNamespace(now=lambda: 1.0),
-        learner=SimpleNamespace(learn=lambda shown, service, now_s: None),
-        picker=SimpleNamespace(note_shown=told.append),
+        learner=SimpleNamespace(record=lambda shown, service, now_s: None),
+        picker=SimpleNamespace(report_attempt=announcement.append),
         quarantine=SimpleNamespace(knows_length=lambda length: False),
     )
     request = SimpleNamespace(
@@ -128,5 +132,5 @@
     )
     attempt = SimpleNamespace(misdirected=False, connected=True)
     made = UpstreamAttempt(chosen, attempt, Streamed(), 0.06, 0.5)
-    Lessons(parts, request).of_upstream(made)
-    assert [one.was_held_up for one in told] == [held_up]
+    Lessons(context, request).of_upstream(made)
+    assert [one.was_held_up for one in announcement] == [held_up]
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -10,11 +10,11 @@
 from godwitshunt.ingress.outcomes import NotRun
 from godwitshunt.ingress.sending import Sender
 from godwitshunt.ingress.task import IngressTask
-from godwitshunt.picking.learner import Learner
-from godwitshunt.picking.shown import AttemptShown, Shown
+from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamAnnounced
-from godwitshunt.routing.upstream_health import DOWN_S
+from godwitshunt.routing.upstream_health import CONNECT_BACKOFF_S
 from godwitshunt.settings import Address
 
 NOW_S = 50.0
@@ -51,7 +51,7 @@
     sender = Sender.__new__(Sender)
     sender.request = request
     sender.progress = SimpleNamespace(begun=False)
-    sender.parts = SimpleNamespace(
+    sender.context = SimpleNamespace(
         names=NAMES,
         timer=SimpleNamespace(now=lambda: NOW_S),
     )
@@ -72,10 +72,10 @@
     view = RegistryView(upstreams={'i-1~1000': None})
     task = IngressTask.__new__(IngressTask)
     task.in_progress = 0
-    task.parts = SimpleNamespace(
+    task.context = SimpleNamespace(
         watch=SimpleNamespace(view=lambda: view, round_trips=dict),
         timer=SimpleNamespace(now=lambda: NOW_S),
-        neighbours=SimpleNamespace(hear=lambda entries, now_s: None),
+        neighbours=SimpleNamespace(record_entries=lambda entries, now_s: None),
         upstreams=SimpleNamespace(forget=lambda present: None),
         budgets=SimpleNamespace(cold=forgets),
         pool=forgets,
@@ -89,16 +89,16 @@
 def test_a_failed_connect_makes_an_upstream_suspect(connected):
     """It may start again at any moment, and be cold before that is heard."""
     attempt = SimpleNamespace(misdirected=False, connected=connected)
-    choice = SimpleNamespace(seen=SimpleNamespace(told=TOLD))
+    choice = SimpleNamespace(upstream=SimpleNamespace(announcement=TOLD))
     made = UpstreamAttempt(choice, attempt, NotRun('connect'), None, 0.1)
     assert (made.shown is Shown.unreached) is not connected
     upstreams = Upstreams()
     learner = Learner(upstreams, RegistryView, lambda incarnation: None)
     if made.shown is not None:
-        learner.learn(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
+        learner.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
     health = upstreams.of('i-1')
-    missed = (health.unreached_s, health.down_until_s)
-    assert (missed == (NOW_S, NOW_S + DOWN_S)) is not connected
+    missed = (health.connect_failed_s, health.down_until_s)
+    assert (missed == (NOW_S, NOW_S + CONNECT_BACKOFF_S)) is not connected
 
 
 def test_another_upstream_at_the_address_is_told():
@@ -108,5 +108,5 @@
     outcome = NotRun('status 421', arrived=True)
     made = UpstreamAttempt(None, attempt, outcome, None, 0.1)
     learner = Learner(Upstreams(), RegistryView, left.append)
-    learner.learn(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
+    learner.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
     assert left == ['i-1']
--- a/godwitshunt/ingress/tests/test_young_vm.py
+++ b/godwitshunt/ingress/tests/test_young_vm.py
@@ -11,7 +11,7 @@
     NoPlace,
 )
 from godwitshunt.registry.tests.deployment import Deployment, address
-from godwitshunt.registry.watch import YOUNG_PERIOD_S, YOUNG_S
+from godwitshunt.registry.watch import WARM_UP_PERIOD_S, WARM_UP_S
 
 NOWHERE = NoPlace(overloaded=False, retry_after_s=0.4)
 FULL = NoPlace(overloaded=True, retry_after_s=0.4)
@@ -22,7 +22,7 @@
 
     def __init__(self, choices, *, is_young=True):
         self.choices = list(choices)
-        self.parts = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
+        self.context = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
 
     async def choose(self):
         """Return the next choice."""
@@ -66,11 +66,11 @@
     await deployment.greet(watch)
     watch.started_s = deployment.timer.now()
     asked: list[str] = []
-    watch.begin = lambda target: asked.append(str(target))
-    deployment.timer.advance(YOUNG_PERIOD_S)
+    watch.start_poll = lambda target: asked.append(str(target))
+    deployment.timer.advance(WARM_UP_PERIOD_S)
     watch.tick()
     assert asked == [str(address(1))]
-    watch.started_s -= YOUNG_S
+    watch.started_s -= WARM_UP_S
     watch.tick()
     assert asked == [str(address(1))]
 
@@ -91,12 +91,12 @@
         now=deployment.timer.now,
         after=lambda when_s, work: again.append(work),
     )
-    watch.retry_first(address(1))
+    watch.retry_initial_poll(address(1))
     assert not again
-    watch.retry_first(address(2))
+    watch.retry_initial_poll(address(2))
     assert len(again) == 1
     watch.subscription = None
-    watch.retry_first(address(2))
+    watch.retry_initial_poll(address(2))
     assert len(again) == 1
 
 
@@ -122,9 +122,9 @@
     """
     monkeypatch.setattr('godwitshunt.ingress.task.FIRST_WAIT_S', 0.1)
     task = IngressTask.__new__(IngressTask)
-    task.in_force = None
+    task.active_revision = None
     task.configured = asyncio.Event()
-    task.parts = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
+    task.context = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
     if comes_after_s is not None:
         loop = asyncio.get_running_loop()
         loop.call_later(comes_after_s, task.configured.set)
--- a/godwitshunt/organisations/limits.py
+++ b/godwitshunt/organisations/limits.py
@@ -27,7 +27,7 @@
 Sums = Mapping[str, float]
 # Pickers tell each other each 0.2 s, over 0.1 s; one that was not heard for so
 # long is taken to be out of reach.
-STALE_S = 0.6
+PEER_TIMEOUT_S = 0.6
 LEAST_WAIT_S = 0.05
 # Of what operators bear beyond a limit, this part may be used up knowingly.
 USED_SHARE = 0.5
@@ -55,7 +55,7 @@
         fixed shares of those that are not heard.
     share : float
         Its own fixed share.
-    heard_s : float
+    peers_seen_s : float
         All others that count as heard were heard since then; infinite where
         there are none.
     allowance : float
@@ -64,7 +64,7 @@
 
     part: float = 1.0
     share: float = 1.0
-    heard_s: float = inf
+    peers_seen_s: float = inf
     allowance: float = 0.0
 
 
@@ -106,7 +106,7 @@
         """
         lost = max(0.0, self.part - part)
         self.part = part
-        self.left -= lost * self.limit.per_s * STALE_S
+        self.left -= lost * self.limit.per_s * PEER_TIMEOUT_S
         passed_s = max(0.0, now_s - self.asof_s)
         self.asof_s = max(self.asof_s, now_s)
         gained = self.limit.per_s * part * passed_s
@@ -127,7 +127,7 @@
         if missing <= 0:
             return 0.0
         per_s = self.limit.per_s * standing.part
-        return max(LEAST_WAIT_S, missing / per_s) if per_s else STALE_S
+        return max(LEAST_WAIT_S, missing / per_s) if per_s else PEER_TIMEOUT_S
 
     def own(self, standing: Standing, now_s: float) -> float:
         """Return this process's share of what the limit has allowed.
@@ -136,16 +136,16 @@
         their shares of it meanwhile. A small organisation's share may be less
         than two of its prompts; a part of what operators bear goes to those.
         """
-        passed_s = max(0.0, now_s - standing.heard_s)
+        passed_s = max(0.0, now_s - standing.peers_seen_s)
         allowed = self.capacity + self.limit.per_s * passed_s
         return standing.share * (allowed + USED_SHARE * standing.allowance)
 
     def untold(self, standing: Standing, now_s: float) -> float:
         """Return what was admitted here since the others were heard."""
-        while self.recent and self.recent[0][0] < now_s - STALE_S:
+        while self.recent and self.recent[0][0] < now_s - PEER_TIMEOUT_S:
             self.recent.popleft()
         return sum(
-            units for at_s, units in self.recent if at_s > standing.heard_s
+            units for at_s, units in self.recent if at_s > standing.peers_seen_s
         )
 
     def take_heard(self, units: float, silent_s: float) -> None:
@@ -270,7 +270,7 @@
         self.heard[source] = HeardSums(sums, asof_s)
         if known is None:
             return
-        silent_s = max(0.0, asof_s - known.asof_s - STALE_S)
+        silent_s = max(0.0, asof_s - known.asof_s - PEER_TIMEOUT_S)
         for name, units in gained(known.sums, sums):
             bucket = self.buckets.get(name)
             if bucket is not None:
--- a/godwitshunt/picking/learner.py
+++ b/godwitshunt/picking/attempt_recorder.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 
 from godwitshunt.manifest import Service
-from godwitshunt.picking.shown import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams, of_service
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing import outliers
-from godwitshunt.routing.upstream_health import FULL_S
+from godwitshunt.routing.upstream_health import FULL_BACKOFF_S
 from godwitshunt.telemetry import log_change
 
 NO_LOAD = Load()
@@ -35,7 +35,9 @@
     view: Callable[[], RegistryView]
     leave: Callable[[str], None]
 
-    def learn(self, made: AttemptShown, service: Service, now_s: float) -> None:
+    def record(
+        self, made: AttemptShown, service: Service, now_s: float
+    ) -> None:
         """Learn from one attempt."""
         health = self.upstreams.of(made.instance)
         match made.shown:
@@ -44,13 +46,13 @@
             case Shown.replaced:
                 self.leave(made.instance)
             case Shown.unreached:
-                health.miss(now_s)
+                health.record_connect_failure(now_s)
             case Shown.full:
-                health.full_until_s = now_s + FULL_S
+                health.full_until_s = now_s + FULL_BACKOFF_S
                 if self.has_room(made.instance):
-                    self.note_outcome(made, outliers.Failed(), now_s)
+                    self.record_outcome(made, outliers.Failed(), now_s)
             case _:
-                self.note_outcome(made, outliers.Failed(), now_s)
+                self.record_outcome(made, outliers.Failed(), now_s)
 
     def note_answer(
         self,
@@ -65,14 +67,14 @@
         have to bear its load, and be left out in their turn.
         """
         health = self.upstreams.of(made.instance)
-        health.note_time(made.first_s, made.predicted_s, now_s)
+        health.record_response_time(made.first_s, made.predicted_s, now_s)
         if self.has_room(made.instance):
             learned = self.upstreams.learned(service)
             learned.note(made.first_s, made.took_s)
             if not made.was_held_up:
                 learned.note_reading(made.first_s, made.unread_tokens)
         in_time = outliers.Answered(made.predicted_s, made.predicted_s)
-        self.note_outcome(made, in_time, now_s)
+        self.record_outcome(made, in_time, now_s)
 
     def has_room(self, instance: str) -> bool:
         """Tell whether an upstream has a free slot.
@@ -80,17 +82,17 @@
         A full one that turns requests away is sound; counted as failing, all
         upstreams of a busy region were left out by turns.
         """
-        seen = self.view().upstreams.get(instance)
-        if seen is None:
+        upstream = self.view().upstreams.get(instance)
+        if upstream is None:
             return False
-        return self.in_flight(instance) < seen.told.slots
+        return self.in_flight(instance) < upstream.told.slots
 
     def in_flight(self, instance: str) -> int:
         """Return the requests of all VMs at an upstream."""
         others = self.view().loads.get(instance, NO_LOAD)
         return others.in_flight + self.upstreams.of(instance).in_flight
 
-    def note_outcome(
+    def record_outcome(
         self,
         made: AttemptShown,
         outcome: outliers.AttemptOutcome,
@@ -101,14 +103,14 @@
             one.told.incarnation
             for one in of_service(self.view(), made.service)
         ]
-        left_out = self.upstreams.note_outcome(
+        exclusions = self.upstreams.record_outcome(
             made.service,
             made.instance,
             outcome,
             present,
             now_s,
         )
-        if left_out:
+        if exclusions:
             log_change(
                 'picking:upstream_left_out',
                 instance=made.instance,
--- a/godwitshunt/picking/choices.py
+++ b/godwitshunt/picking/choices.py
@@ -4,7 +4,7 @@
 
 from godwitshunt.manifest import Route, Service
 from godwitshunt.registry import EntryRecord, UpstreamSeen
-from godwitshunt.routing.selection import Demand, Ranked
+from godwitshunt.routing.selection import Demand, RankedCandidate
 
 # Engines that more urgent requests may not use have time to read prompts and
 # hold up nobody; they own more of the shared parts. Bounded, since what they
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class ChoiceRequest:
     """What is asked for.
 
     Parameters
@@ -22,7 +22,7 @@
         Incarnations, VMs and regions that failed this request.
     local : bool
         True where it was handed over to this VM, and must be served here.
-    quiet_regions : frozenset of str
+    low_urgency_regions : frozenset of str
         Regions that more urgent routes of the service have no home in.
     holders : frozenset of str
         Incarnations that keep the prompt's shared parts.
@@ -37,13 +37,13 @@
     now_s: float
     excluded: frozenset[str] = frozenset()
     local: bool = False
-    quiet_regions: frozenset[str] = frozenset()
+    low_urgency_regions: frozenset[str] = frozenset()
     holders: frozenset[str] = frozenset()
     entry: str = ''
 
     def affinity(self, region: str) -> float:
         """Return a region's share of shared prompt parts, against others."""
-        return QUIET_AFFINITY if region in self.quiet_regions else 1.0
+        return QUIET_AFFINITY if region in self.low_urgency_regions else 1.0
 
 
 @dataclass(frozen=True)
@@ -55,22 +55,22 @@
     unread_tokens : int
         What reading the rest of the prompt takes there, in tokens of a short
         one; requests behind it wait for as much.
-    is_kept : bool
+    is_cached : bool
         True where it keeps the shared parts.
     waiting_tokens : float
         What others wait for to be read there.
-    is_given : bool
+    chosen_by_picker : bool
         True where the region's picker gave the place, and its budgets with it.
     """
 
-    seen: UpstreamSeen
+    upstream: UpstreamSeen
     predicted_s: float
     is_cold: bool
-    ranked: tuple[Ranked, ...] = ()
+    ranked: tuple[RankedCandidate, ...] = ()
     unread_tokens: int = 0
-    is_kept: bool = False
+    is_cached: bool = False
     waiting_tokens: float = 0.0
-    is_given: bool = False
+    chosen_by_picker: bool = False
 
 
 @dataclass(frozen=True)
@@ -79,15 +79,15 @@
 
     Parameters
     ----------
-    likely : Ranked or None
+    likely : RankedCandidate or None
         The upstream there that speaks for it; None where another process
         chose.
     """
 
     entry: EntryRecord
     predicted_s: float
-    ranked: tuple[Ranked, ...] = ()
-    likely: Ranked | None = None
+    ranked: tuple[RankedCandidate, ...] = ()
+    likely: RankedCandidate | None = None
 
 
 @dataclass(frozen=True)
@@ -100,17 +100,17 @@
         False where there is no upstream at all.
     retry_after_s : float
         When one may have room.
-    is_given : bool
+    chosen_by_picker : bool
         True where the region's picker said so.
-    left_out : tuple of str
+    exclusions : tuple of str
         Why each upstream gets no request, where none does.
     """
 
     overloaded: bool
     retry_after_s: float
-    ranked: tuple[Ranked, ...] = ()
-    is_given: bool = False
-    left_out: tuple[str, ...] = ()
+    ranked: tuple[RankedCandidate, ...] = ()
+    chosen_by_picker: bool = False
+    exclusions: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -124,13 +124,13 @@
     """
 
     retry_after_s: float
-    ranked: tuple[Ranked, ...] = ()
+    ranked: tuple[RankedCandidate, ...] = ()
 
 
 Choice = SendHere | HandOver | NoPlace | Limited
 
 
-def describe(ranked: Ranked) -> str:
+def describe_candidate(ranked: RankedCandidate) -> str:
     """Return a candidate: name, region, prediction, cost and load."""
     one = ranked.candidate
     kept = '/kept' if one.cached else ''
--- a/godwitshunt/picking/choosing.py
+++ b/godwitshunt/picking/chooser.py
@@ -6,8 +6,8 @@
 
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.picking.choices import (
-    Ask,
     Choice,
+    ChoiceRequest,
     HandOver,
     NoPlace,
     SendHere,
@@ -23,9 +23,9 @@
 )
 from godwitshunt.routing.hashing import name_hash, rank_weight
 from godwitshunt.routing.selection import (
-    NEAR_S,
+    NEAR_BEST_S,
     Candidate,
-    Ranked,
+    RankedCandidate,
     near_best,
     rank,
 )
@@ -73,14 +73,14 @@
     neighbours: Neighbours
     random: Random
     away_s: float = 0.0
-    near_s: float = NEAR_S
+    near_s: float = NEAR_BEST_S
 
     def __post_init__(self) -> None:
         self.filter = UpstreamFilter(self.region, self.upstreams)
 
     def choose(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
     ) -> Choice:
@@ -93,7 +93,7 @@
             return NoPlace(
                 overloaded=False,
                 retry_after_s=wait_s,
-                left_out=self.left_out(ask, view, revision),
+                exclusions=self.exclusions(ask, view, revision),
             )
         speed = self.upstreams.speed(ask.service)
         ranked = rank(found, ask.demand, speed)
@@ -112,19 +112,19 @@
 
     def go(
         self,
-        chosen: Ranked,
-        ask: Ask,
+        chosen: RankedCandidate,
+        ask: ChoiceRequest,
         view: RegistryView,
-        ranked: tuple[Ranked, ...],
+        ranked: tuple[RankedCandidate, ...],
     ) -> Choice:
         """Return the way to a chosen upstream."""
         candidate = chosen.candidate
-        seen = view.upstreams[candidate.instance]
+        upstream = view.upstreams[candidate.instance]
         if candidate.region == self.region:
             return SendHere(
-                seen,
+                upstream,
                 chosen.predicted_s,
-                self.filter.may_be_cold(seen, ask),
+                self.filter.may_be_cold(upstream, ask),
                 ranked,
                 chosen.unread_tokens,
                 candidate.cached,
@@ -136,7 +136,7 @@
 
     def candidates(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
     ) -> Iterator[Candidate]:
@@ -144,7 +144,7 @@
         ejected = self.upstreams.ejected(ask.service.name, ask.now_s)
         return self.usable(ask, view, revision, ask.excluded | ejected)
 
-    def opens_in_s(self, ask: Ask, view: RegistryView) -> float:
+    def opens_in_s(self, ask: ChoiceRequest, view: RegistryView) -> float:
         """Return the seconds until an upstream may take a request again.
 
         Callers come back once or twice: too early, they are refused for good;
@@ -156,15 +156,15 @@
             avoided.get(f'{region} {ask.service.name}', 0.0)
             for region in view.doors
         ]
-        for seen in of_service(view, ask.service.name):
-            health = self.upstreams.of(seen.told.incarnation)
+        for upstream in of_service(view, ask.service.name):
+            health = self.upstreams.of(upstream.told.incarnation)
             ends.extend((health.down_until_s, health.full_until_s))
         opens = [end_s - ask.now_s for end_s in ends if end_s > ask.now_s]
         return max(LEAST_RETRY_S, min(opens, default=NO_UPSTREAM_RETRY_S))
 
     def last_resorts(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
     ) -> Iterator[Candidate]:
@@ -180,26 +180,26 @@
 
     def usable(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
-        left_out: frozenset[str],
+        exclusions: frozenset[str],
     ) -> Iterator[Candidate]:
         """Give the upstreams that would take a request, without some."""
         reachable = self.reachable(ask, view)
-        for seen in of_service(view, ask.service.name):
-            if seen.region not in reachable:
+        for upstream in of_service(view, ask.service.name):
+            if upstream.region not in reachable:
                 continue
-            if seen.told.incarnation in left_out:
+            if upstream.told.incarnation in exclusions:
                 continue
-            if self.filter.refusal(seen, ask, revision) is None:
-                candidate = self.candidate(seen, ask, view)
+            if self.filter.refusal(upstream, ask, revision) is None:
+                candidate = self.candidate(upstream, ask, view)
                 if not is_full(candidate):
                     yield candidate
 
-    def left_out(
+    def exclusions(
         self,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
         revision: Revision,
     ) -> tuple[str, ...]:
@@ -207,22 +207,24 @@
         reachable = self.reachable(ask, view)
         ejected = self.upstreams.ejected(ask.service.name, ask.now_s)
         told = []
-        for seen in of_service(view, ask.service.name):
-            instance = seen.told.incarnation
-            why = self.filter.refusal(seen, ask, revision)
-            if seen.region not in reachable:
+        for upstream in of_service(view, ask.service.name):
+            instance = upstream.told.incarnation
+            why = self.filter.refusal(upstream, ask, revision)
+            if upstream.region not in reachable:
                 why = 'out of reach'
             elif instance in ask.excluded:
                 why = 'failed this request'
             elif instance in ejected:
                 why = 'fails'
             elif why is None:
-                one = self.candidate(seen, ask, view)
+                one = self.candidate(upstream, ask, view)
                 why = f'full: {one.in_flight} of {one.slots}'
-            told.append(f'{instance}@{seen.region} {why}')
+            told.append(f'{instance}@{upstream.region} {why}')
         return tuple(told)
 
-    def reachable(self, ask: Ask, view: RegistryView) -> frozenset[str]:
+    def reachable(
+        self, ask: ChoiceRequest, view: RegistryView
+    ) -> frozenset[str]:
         """Return the regions that a request may be served in from here."""
         regions = {self.region}
         if not ask.local:
@@ -243,7 +245,7 @@
     def doors(
         self,
         region: str,
-        ask: Ask,
+        ask: ChoiceRequest,
         view: RegistryView,
     ) -> list[EntryRecord]:
         """Return the entry VMs of a region that take requests over."""
@@ -256,29 +258,29 @@
 
     def candidate(
         self,
-        seen: UpstreamSeen,
-        ask: Ask,
+        upstream: UpstreamSeen,
+        ask: ChoiceRequest,
         view: RegistryView,
     ) -> Candidate:
         """Return an upstream as it stands now."""
-        told = seen.told
+        told = upstream.told
         health = self.upstreams.of(told.incarnation)
-        here = seen.region == self.region
+        here = upstream.region == self.region
         away_s = 0.0
         if not here:
-            away_s = self.away_s + self.neighbours.round_trip_s(seen.region)
+            away_s = self.away_s + self.neighbours.round_trip_s(upstream.region)
         load = view.loads.get(told.incarnation, Load()) + health.load
         return Candidate(
             instance=told.incarnation,
-            region=seen.region,
+            region=upstream.region,
             slots=told.slots,
             in_flight=load.in_flight,
             pending_tokens=load.pending_tokens,
             delay_s=health.expected_delay_s(ask.now_s),
             away_s=away_s,
             cached=told.incarnation in ask.holders,
-            affinity=ask.affinity(seen.region),
-            penalty_s=penalty_s(seen, health, ask.now_s),
+            affinity=ask.affinity(upstream.region),
+            penalty_s=penalty_s(upstream, health, ask.now_s),
         )
 
     def jitter(self, wait_s: float) -> float:
@@ -303,16 +305,16 @@
 
 
 def penalty_s(
-    seen: UpstreamSeen,
+    upstream: UpstreamSeen,
     health: UpstreamHealth,
     now_s: float,
 ) -> float:
     """Return by how many seconds an upstream is worse than its load tells."""
     worse_s = 0.0
-    if seen.cold_until_s > now_s:
+    if upstream.cold_until_s > now_s:
         worse_s += COLD_PENALTY_S
-    if seen.silent and now_s - health.heard_s > MUTE_AFTER_S:
+    if upstream.silent and now_s - health.last_seen_s > MUTE_AFTER_S:
         worse_s += SILENT_PENALTY_S
-    if health.mute_s(now_s) > MUTE_AFTER_S:
+    if health.unresponsive_s(now_s) > MUTE_AFTER_S:
         worse_s += MUTE_PENALTY_S
     return worse_s
--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -9,9 +9,9 @@
     Standing,
     fixed_shares,
     limits_of,
-    usable_part,
+    usable_share,
 )
-from godwitshunt.organisations.limits import STALE_S
+from godwitshunt.organisations.limits import PEER_TIMEOUT_S
 from godwitshunt.registry.control_tables import ControlTables
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.wire import admitted_from_wire
@@ -49,10 +49,12 @@
         """Return the control VMs of each region that are known."""
         regions = set(self.tables.place.regions.values())
         regions.add(self.tables.place.region)
-        found = {region: self.tables.in_region(region) for region in regions}
+        found = {
+            region: self.tables.controls_in_region(region) for region in regions
+        }
         here = found[self.tables.place.region]
-        if self.tables.own not in here:
-            here.append(self.tables.own)
+        if self.tables.own_name not in here:
+            here.append(self.tables.own_name)
         return found
 
     def standing(self, now_s: float) -> Standing:
@@ -64,25 +66,25 @@
             return Standing()
         pickers = self.pickers()
         shares = fixed_shares(pickers)
-        heard = {self.tables.own: inf}
+        heard = {self.tables.own_name: inf}
         for control, table in self.tables.joined.tables.items():
-            if control == self.tables.own or not table.source:
+            if control == self.tables.own_name or not table.source:
                 continue
             self.pool.hear(
                 f'{control} {table.source}',
                 table.admitted,
-                table.loads_s,
+                table.loads_asof_s,
                 shares.get(control, 0.0),
             )
-            if now_s - table.loads_s <= STALE_S:
-                heard[control] = table.loads_s
+            if now_s - table.loads_asof_s <= PEER_TIMEOUT_S:
+                heard[control] = table.loads_asof_s
         known = {str(one) for one in self.tables.place.others()}
         known.update(heard)
-        own = self.tables.own
+        own = self.tables.own_name
         return Standing(
-            part=usable_part(own, pickers, known, heard),
+            part=usable_share(own, pickers, known, heard),
             share=shares[own],
-            heard_s=min(heard.values()),
+            peers_seen_s=min(heard.values()),
             allowance=self.allowance,
         )
 
--- a/godwitshunt/picking/neighbours.py
+++ b/godwitshunt/picking/neighbours.py
@@ -36,7 +36,9 @@
         """Return the seconds to another region and back."""
         return self.round_trips.get(region, UNKNOWN_ROUND_TRIP_S)
 
-    def hear(self, entries: Mapping[str, EntryRecord], now_s: float) -> None:
+    def record_entries(
+        self, entries: Mapping[str, EntryRecord], now_s: float
+    ) -> None:
         """Note the entry VMs that control tells of now."""
         for name, entry in entries.items():
             self.seen[name] = (entry.region, now_s)
@@ -49,7 +51,7 @@
         """Return the entry VMs of all regions, this one included."""
         return max(1, len(self.seen))
 
-    def count_here(self) -> int:
+    def count_in_region(self) -> int:
         """Return the entry VMs of this region, this one included."""
         here = sum(region == self.region for region, _ in self.seen.values())
         return max(1, here)
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -18,23 +18,23 @@
 from godwitshunt.manifest import Route, Service
 from godwitshunt.organisations import LimitPool, Standing
 from godwitshunt.picking.choices import (
-    Ask,
     Choice,
+    ChoiceRequest,
     HandOver,
     Limited,
     NoPlace,
     SendHere,
 )
-from godwitshunt.picking.choosing import Chooser
-from godwitshunt.picking.handed import HandedLoads
+from godwitshunt.picking.chooser import Chooser
+from godwitshunt.picking.handover_loads import HandedLoads
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.routes import RouteTable
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamSeen
 from godwitshunt.registry.ledger import LoadLedger, SummedLoads
-from godwitshunt.registry.prefixes import PrefixRead, PrefixTable
+from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.routing.cold_budget import ColdBudget
-from godwitshunt.routing.selection import LEAST_SHARED_TOKENS, Demand
+from godwitshunt.routing.selection import MIN_SHARED_TOKENS, Demand
 
 # Of the pickers that a region may have, the first by name gives this part of
 # what cold upstreams may get, and the others share the rest: for a moment some
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Question:
+class DestinationRequest:
     """What an entry VM asks for.
 
     Parameters
@@ -172,7 +172,7 @@
             self.random,
             near_s=0.0,
         )
-        self.chooser.filter.cold_room = self.cold_room
+        self.chooser.filter.has_cold_capacity = self.has_cold_capacity
 
     def rank_among(self, own: str, pickers: Collection[str]) -> None:
         """Take the part of cold upstreams' budgets that is this picker's.
@@ -191,7 +191,7 @@
 
     def give(
         self,
-        question: Question,
+        question: DestinationRequest,
         known: Known,
         now_s: float,
     ) -> Given | Unable:
@@ -216,7 +216,7 @@
 
     def limit_wait_s(
         self,
-        question: Question,
+        question: DestinationRequest,
         standing: Standing,
         now_s: float,
     ) -> float:
@@ -229,19 +229,19 @@
         name, cost = question.organisation, question.cost
         return self.limits.wait_s(name, cost, standing, now_s)
 
-    def spend_limit(self, question: Question, now_s: float) -> None:
+    def spend_limit(self, question: DestinationRequest, now_s: float) -> None:
         """Count a request that is given a place, here or elsewhere."""
         if question.organisation and not question.local:
             self.limits.take(question.organisation, question.cost, now_s)
 
     def ask(
         self,
-        question: Question,
+        question: DestinationRequest,
         route: Route,
         service: Service,
         known: Known,
         now_s: float,
-    ) -> Ask:
+    ) -> ChoiceRequest:
         """Return what is asked of the chooser."""
         demand = replace(
             question.demand,
@@ -249,7 +249,7 @@
             objective_s=route.objective_s,
         )
         quiet = known.routes.quiet.get((service.name, route.rank), frozenset())
-        return Ask(
+        return ChoiceRequest(
             route=route,
             service=service,
             demand=demand,
@@ -257,27 +257,29 @@
             now_s=now_s,
             excluded=question.excluded,
             local=question.local,
-            quiet_regions=quiet,
+            low_urgency_regions=quiet,
             holders=self.prefixes.holders(demand.shared_key, now_s),
             entry=question.entry,
         )
 
-    def cold_room(self, seen: UpstreamSeen, ask: Ask) -> bool:
+    def has_cold_capacity(
+        self, upstream: UpstreamSeen, ask: ChoiceRequest
+    ) -> bool:
         """Tell whether a cold upstream may get one more request."""
         cold = ask.service.cold_start
         return cold is None or self.cold.has_room(
-            seen.told.incarnation,
+            upstream.told.incarnation,
             cold.requests_per_s,
             self.cold_share,
             ask.now_s,
         )
 
-    def spend_cold(self, choice: SendHere, ask: Ask) -> None:
+    def spend_cold(self, choice: SendHere, ask: ChoiceRequest) -> None:
         """Take one request from a cold upstream's budget."""
         cold = ask.service.cold_start
         if choice.is_cold and cold is not None:
             self.cold.spend(
-                choice.seen.told.incarnation,
+                choice.upstream.told.incarnation,
                 cold.requests_per_s,
                 self.cold_share,
                 ask.now_s,
@@ -285,17 +287,17 @@
 
     def count(
         self,
-        question: Question,
+        question: DestinationRequest,
         service: Service,
         choice: Choice,
         now_s: float,
     ) -> Given:
         """Count what was given."""
         match choice:
-            case SendHere(seen=seen, unread_tokens=tokens):
-                instance = seen.told.incarnation
+            case SendHere(upstream=upstream, unread_tokens=tokens):
+                instance = upstream.told.incarnation
                 self.note_prompt(question.demand, instance, now_s)
-                number = self.ledger.give(
+                number = self.ledger.reserve(
                     question.entry,
                     instance,
                     tokens,
@@ -318,12 +320,12 @@
         The next request with the same parts comes while they are still read;
         sent elsewhere, they would be read twice.
         """
-        if demand.shared_tokens >= LEAST_SHARED_TOKENS:
-            read = PrefixRead(demand.shared_key, instance, now_s)
+        if demand.shared_tokens >= MIN_SHARED_TOKENS:
+            read = CachedPrefix(demand.shared_key, instance, now_s)
             self.prefixes.note(read)
 
 
-def route_for(question: Question, routes: RouteTable) -> Route | None:
+def route_for(question: DestinationRequest, routes: RouteTable) -> Route | None:
     """Return the route of a question, as it holds for its organisation."""
     route = routes.of(question.host, question.path_prefix)
     if route is None or not question.organisation:
--- a/godwitshunt/picking/reports.py
+++ b/godwitshunt/picking/reports.py
@@ -6,7 +6,7 @@
 
 from godwitshunt.manifest import Manifest
 from godwitshunt.organisations import LimitPool, limits_of
-from godwitshunt.picking.shown import AttemptShown, shown_to_wire
+from godwitshunt.picking.attempt_reports import AttemptShown, shown_to_wire
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.quarantine import SuspectTable
 from godwitshunt.registry.gen.wire import ttypes
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Reports:
+class ReportBuilder:
     """Makes the reports of one process.
 
     Parameters
@@ -92,7 +92,7 @@
             now_s,
         )
         self.prefixes_told = self.prefixes.version
-        news = self.suspects.news(self.suspects_told)
-        made.suspects = suspects_to_wire(news.records, now_s)
-        self.suspects_told = news.version
+        delta = self.suspects.delta(self.suspects_told)
+        made.suspects = suspects_to_wire(delta.records, now_s)
+        self.suspects_told = delta.version
         return made
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -8,27 +8,27 @@
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.organisations import LimitPool
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
+from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_reports import shown_from_wire
 from godwitshunt.picking.choices import (
     HandOver,
     Limited,
     NoPlace,
     SendHere,
-    describe,
+    describe_candidate,
 )
-from godwitshunt.picking.handed import HandedLoads
-from godwitshunt.picking.learner import Learner
+from godwitshunt.picking.handover_loads import HandedLoads
 from godwitshunt.picking.limits import PickerLimits
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.picker import (
+    DestinationRequest,
     Given,
     Known,
     Picker,
-    Question,
     Unable,
     service_of,
 )
 from godwitshunt.picking.routes import RouteTable
-from godwitshunt.picking.shown import shown_from_wire
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.picking.wire import given_to_wire, question_from_wire
 from godwitshunt.registry import RegistryService
@@ -99,7 +99,7 @@
                 timer.now(),
             ),
             handed=HandedLoads(
-                told_s=tables.told_s,
+                told_s=tables.region_loads_asof_s,
                 way_s=lambda other: neighbours.round_trip_s(other) / 2,
             ),
             random=Random(),
@@ -114,7 +114,7 @@
         self.learner = Learner(
             self.picker.upstreams,
             registry.view,
-            registry.leave,
+            registry.mark_replaced,
         )
 
     @classmethod
@@ -135,7 +135,7 @@
         self.started_s = self.timer.now()
         self.links.subscribe(MessageKind.place_ask, self.on_ask)
         self.links.subscribe(MessageKind.load_report, self.on_report)
-        self.registry.subscribe(self.learn)
+        self.registry.subscribe(self.record)
         self.subscription = self.timer.every(TICK_S, self.tick)
         self.timer.after(LEARNS_S, partial(self.begin, 'what runs is known'))
 
@@ -160,7 +160,9 @@
         self.picker.upstreams.forget(view.upstreams)
         self.picker.cold.forget(frozenset(view.upstreams))
         own = str(self.registry.place.address)
-        self.picker.rank_among(own, tables.in_region(self.picker.region))
+        self.picker.rank_among(
+            own, tables.controls_in_region(self.picker.region)
+        )
         self.picker.handed.forget(now_s)
         # Heard with questions only, what others admit while this region asks
         # for nothing would look admitted through a silence of theirs.
@@ -176,7 +178,7 @@
         """Answer an entry VM that asks for a place."""
         asked = decode(ttypes.PlaceAsked, body)
         question = question_from_wire(asked)
-        self.registry.take_report(question.entry, asked.report)
+        self.registry.apply_report(question.entry, asked.report)
         now_s = self.timer.now()
         holders = self.holders(question.demand, now_s)
         given = self.give(question, now_s)
@@ -185,9 +187,9 @@
 
     async def on_report(self, sender: str, body: bytes) -> None:
         """Take an entry VM's requests, and what its attempts showed."""
-        self.registry.take_report(sender, decode(ttypes.LoadReport, body))
+        self.registry.apply_report(sender, decode(ttypes.LoadReport, body))
 
-    def learn(
+    def record(
         self,
         name: str,
         told: ttypes.LoadReport,
@@ -201,16 +203,16 @@
         for made in shown_from_wire(told.shown):
             service = revision and service_of(revision, made.service)
             if service:
-                self.learner.learn(made, service, now_s)
+                self.learner.record(made, service, now_s)
 
     def note_waits(self, name: str, report: Report) -> None:
         """Note which upstreams have shown an entry VM nothing for how long."""
         before = self.reported.get(name, frozenset())
         for instance in before - report.loads.keys():
-            self.picker.upstreams.of(instance).note_reported(name, None, None)
+            self.picker.upstreams.of(instance).record_report(name, None, None)
         for instance, one in report.loads.items():
             health = self.picker.upstreams.of(instance)
-            health.note_reported(name, one.oldest_s, one.heard_s)
+            health.record_report(name, one.oldest_s, one.last_received_s)
         self.reported[name] = frozenset(report.loads)
 
     def forget_absent(self) -> None:
@@ -218,9 +220,11 @@
         for name in self.reported.keys() - self.registry.ledger.entries.keys():
             for instance in self.reported.pop(name):
                 health = self.picker.upstreams.of(instance)
-                health.note_reported(name, None, None)
+                health.record_report(name, None, None)
 
-    def give(self, question: Question, now_s: float) -> Given | Unable:
+    def give(
+        self, question: DestinationRequest, now_s: float
+    ) -> Given | Unable:
         """Return where a request goes."""
         if not self.registry.gives_places:
             return Unable('what runs is not known yet')
@@ -252,7 +256,7 @@
 
     def note(
         self,
-        question: Question,
+        question: DestinationRequest,
         given: Given | Unable,
         holders: frozenset[str],
     ) -> None:
@@ -277,8 +281,8 @@
     match given:
         case Unable(reason):
             return f'unable: {reason}'
-        case Given(choice=SendHere(seen=seen)):
-            return seen.told.incarnation
+        case Given(choice=SendHere(upstream=upstream)):
+            return upstream.told.incarnation
         case Given(choice=HandOver(entry=entry)):
             return f'{entry.region}/{entry.name}'
         case Given(choice=NoPlace(overloaded=True)):
@@ -292,9 +296,9 @@
     """Return what a choice was made of, for logs."""
     if isinstance(given, Unable):
         return []
-    if isinstance(given.choice, NoPlace) and given.choice.left_out:
-        return list(given.choice.left_out)
-    return [describe(one) for one in given.choice.ranked]
+    if isinstance(given.choice, NoPlace) and given.choice.exclusions:
+        return list(given.choice.exclusions)
+    return [describe_candidate(one) for one in given.choice.ranked]
 
 
 def kind_of(given: Given | Unable) -> str:
--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -8,12 +8,12 @@
 
 from godwitshunt.manifest import ColdStart
 from godwitshunt.picking.choices import (
-    Ask,
+    ChoiceRequest,
     HandOver,
     NoPlace,
     SendHere,
 )
-from godwitshunt.picking.choosing import (
+from godwitshunt.picking.chooser import (
     LEAST_RETRY_S,
     NO_UPSTREAM_RETRY_S,
     Chooser,
@@ -31,7 +31,7 @@
 ADDRESS = Address(host='10.0.0.1', port=80)
 
 
-def upstream(name: str, region: str) -> UpstreamSeen:
+def make_upstream(name: str, region: str) -> UpstreamSeen:
     """Return an engine that is heard of and well."""
     told = UpstreamAnnounced(name, 'llm', ADDRESS, 'a', 48, False, 0, 1)
     return UpstreamSeen(told, region, 0.0, None, silent=False)
@@ -39,25 +39,25 @@
 
 def view(loads: dict[str, Load] | None = None) -> RegistryView:
     """Return four engines here, two there, and one entry VM there."""
-    seen = [upstream(f'k-{number}', 'kochi') for number in range(4)]
-    seen += [upstream(f't-{number}', 'tvm') for number in range(2)]
+    upstream = [make_upstream(f'k-{number}', 'kochi') for number in range(4)]
+    upstream += [make_upstream(f't-{number}', 'tvm') for number in range(2)]
     door = EntryRecord('t-e', 's', 'tvm', 't', ADDRESS, ADDRESS, True)
     return RegistryView(
-        upstreams={one.told.incarnation: one for one in seen},
+        upstreams={one.told.incarnation: one for one in upstream},
         entries={door.name: door},
         loads=loads or {},
         doors={'tvm': (door,)},
     )
 
 
-def ask(demand: Demand, **changes) -> Ask:
+def ask(demand: Demand, **changes) -> ChoiceRequest:
     """Return a question for a route without homes."""
     route = SimpleNamespace(homes=(), objective_s=0.8, rank=0)
     service = SimpleNamespace(name='llm', engine=True, cold_start=None)
-    return Ask(route, service, demand, 5.0, NOW_S, **changes)
+    return ChoiceRequest(route, service, demand, 5.0, NOW_S, **changes)
 
 
-def choose(asked: Ask, known: RegistryView):
+def choose(asked: ChoiceRequest, known: RegistryView):
     """Return what a VM of the first region chooses."""
     chooser = Chooser(
         'kochi',
@@ -75,8 +75,8 @@
     asked = ask(LONG, holders=frozenset((holder,)))
     chosen = choose(asked, view())
     assert isinstance(chosen, SendHere)
-    assert chosen.seen.told.incarnation == holder
-    assert chosen.is_kept
+    assert chosen.upstream.told.incarnation == holder
+    assert chosen.is_cached
 
 
 def test_a_prompt_goes_to_the_region_that_keeps_it():
@@ -146,9 +146,9 @@
     )
     service = SimpleNamespace(name='llm', engine=True, cold_start=cold)
     asked = replace(ask(SHORT), service=service)
-    chooser.upstreams.of('k-0').miss(NOW_S - missed_ago_s)
-    seen = upstream('k-0', 'kochi')
-    assert chooser.filter.may_be_cold(seen, asked) is may_be_cold
+    chooser.upstreams.of('k-0').record_connect_failure(NOW_S - missed_ago_s)
+    upstream = make_upstream('k-0', 'kochi')
+    assert chooser.filter.may_be_cold(upstream, asked) is may_be_cold
 
 
 @pytest.mark.parametrize(
@@ -173,13 +173,13 @@
         Neighbours('k-e', 'kochi'),
         Random(1),
     )
-    seen = upstream('k-0', 'kochi')
+    upstream = make_upstream('k-0', 'kochi')
     health = chooser.upstreams.of('k-0')
     for name, until_s in known.items():
         setattr(health, name, until_s)
     found = chooser.opens_in_s(
         ask(SHORT),
-        RegistryView(upstreams={'k-0': seen}),
+        RegistryView(upstreams={'k-0': upstream}),
     )
     assert found == pytest.approx(opens_in_s)
 
--- a/godwitshunt/picking/tests/test_exact_counts.py
+++ b/godwitshunt/picking/tests/test_exact_counts.py
@@ -34,7 +34,7 @@
 
 def place(choice: SendHere) -> str:
     """Return where a request goes."""
-    return choice.seen.told.incarnation
+    return choice.upstream.told.incarnation
 
 
 @pytest.mark.parametrize('vms', [3, 30])
@@ -42,7 +42,7 @@
     """All entry VMs get a request in the same millisecond."""
     _, entries = await started(vms)
     given = [await entry.ask() for entry in entries]
-    assert all(one.is_given for one in given)
+    assert all(one.chosen_by_picker for one in given)
     sent = Counter(map(place, given))
     assert max(sent.values()) <= -(-vms // ENGINES)
 
@@ -71,10 +71,10 @@
     """
     _, (one, other) = await started()
     first = await one.ask(LONG)
-    assert not first.is_kept
+    assert not first.is_cached
     second = await other.ask(LONG)
     assert place(second) == place(first)
-    assert second.is_kept
+    assert second.is_cached
 
 
 async def test_what_went_to_another_region_counts_until_that_tells_of_it():
--- a/godwitshunt/picking/upstreams.py
+++ b/godwitshunt/picking/upstreams.py
@@ -52,7 +52,7 @@
             self.speeds[service.name] = known
         return known
 
-    def note_outcome(
+    def record_outcome(
         self,
         service: str,
         instance: str,
@@ -69,10 +69,10 @@
             )
             self.outliers[service] = detector
         if isinstance(outcome, Answered):
-            detector.note(instance, outcome, tuple(present), now_s)
+            detector.record(instance, outcome, tuple(present), now_s)
             return False
         before = detector.excluded(now_s)
-        detector.note(instance, outcome, tuple(present), now_s)
+        detector.record(instance, outcome, tuple(present), now_s)
         return instance in detector.excluded(now_s) - before
 
     def ejected(self, service: str, now_s: float) -> frozenset[str]:
@@ -80,19 +80,19 @@
         detector = self.outliers.get(service)
         return frozenset() if detector is None else detector.excluded(now_s)
 
-    def note_sent(self, service: str, instance: str) -> None:
+    def record_sent(self, service: str, instance: str) -> None:
         """Note that a request goes to an upstream; it may be a probe."""
         detector = self.outliers.get(service)
         if detector is not None:
-            detector.note_sent(instance)
+            detector.record_sent(instance)
 
     def reported(self) -> Mapping[str, ReportedLoad]:
         """Return this VM's own requests, as they are reported."""
         return {
             instance: ReportedLoad(
                 health.load,
-                health.oldest_s(),
-                health.heard_s if isfinite(health.heard_s) else None,
+                health.oldest_sent_s(),
+                health.last_seen_s if isfinite(health.last_seen_s) else None,
             )
             for instance, health in self.health.items()
             if health.in_flight
@@ -104,11 +104,11 @@
             if instance not in present and not health.in_flight:
                 self.health.pop(instance)
         for detector in self.outliers.values():
-            detector.forget(present.keys())
+            detector.remove_absent(present.keys())
 
 
 def of_service(view: RegistryView, service: str) -> Iterator[UpstreamSeen]:
     """Give the incarnations that serve a service."""
-    for seen in view.upstreams.values():
-        if seen.told.service == service:
-            yield seen
+    for upstream in view.upstreams.values():
+        if upstream.told.service == service:
+            yield upstream
--- a/godwitshunt/picking/wire.py
+++ b/godwitshunt/picking/wire.py
@@ -10,15 +10,15 @@
     NoPlace,
     SendHere,
 )
-from godwitshunt.picking.picker import Given, Question, Unable
+from godwitshunt.picking.picker import DestinationRequest, Given, Unable
 from godwitshunt.registry import UpstreamSeen
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.views import heard
 from godwitshunt.registry.wire import (
     MILLISECONDS,
+    announcement_to_wire,
     entry_from_wire,
     entry_to_wire,
-    told_to_wire,
     upstream_from_wire,
 )
 from godwitshunt.routing.selection import Demand
@@ -36,7 +36,7 @@
 
 
 def question_to_wire(
-    question: Question,
+    question: DestinationRequest,
     report: ttypes.LoadReport,
 ) -> ttypes.PlaceAsked:
     """Return what an entry VM asks for as a struct."""
@@ -59,7 +59,7 @@
     )
 
 
-def question_from_wire(asked: ttypes.PlaceAsked) -> Question:
+def question_from_wire(asked: ttypes.PlaceAsked) -> DestinationRequest:
     """Read what an entry VM asks for.
 
     Raises
@@ -70,7 +70,7 @@
     needed = (asked.entry_name, asked.report, asked.remaining_ms)
     if any(one is None for one in needed):
         raise FrameError('PlaceAsked: a field is missing')
-    return Question(
+    return DestinationRequest(
         entry=asked.entry_name,
         request=asked.request_id or '',
         host=asked.host or '',
@@ -102,10 +102,10 @@
         case SendHere() as choice:
             made.kind = GivenKind.upstream
             made.predicted_ms = choice.predicted_s * MILLISECONDS
-            made.upstream = seen_to_wire(choice.seen, now_s)
+            made.upstream = seen_to_wire(choice.upstream, now_s)
             made.is_cold = choice.is_cold
             made.unread_tokens = choice.unread_tokens
-            made.is_kept = choice.is_kept
+            made.is_kept = choice.is_cached
             made.waiting_tokens = int(choice.waiting_tokens)
         case HandOver(entry=entry, predicted_s=predicted_s):
             made.kind = GivenKind.entry
@@ -166,9 +166,9 @@
                 made.predicted_ms / MILLISECONDS,
                 bool(made.is_cold),
                 unread_tokens=made.unread_tokens,
-                is_kept=bool(made.is_kept),
+                is_cached=bool(made.is_kept),
                 waiting_tokens=made.waiting_tokens,
-                is_given=True,
+                chosen_by_picker=True,
             )
         case GivenKind.entry:
             predicted_s = made.predicted_ms / MILLISECONDS
@@ -180,15 +180,17 @@
         case kind:
             overloaded = kind is GivenKind.overloaded
             wait_s = made.retry_after_ms / MILLISECONDS
-            return NoPlace(overloaded, wait_s, is_given=True)
+            return NoPlace(overloaded, wait_s, chosen_by_picker=True)
 
 
-def seen_to_wire(seen: UpstreamSeen, now_s: float) -> ttypes.UpstreamInfo:
+def seen_to_wire(upstream: UpstreamSeen, now_s: float) -> ttypes.UpstreamInfo:
     """Return an upstream as a picker believes it to be as a struct."""
-    ends_in_s = None if seen.ends_at_s is None else seen.ends_at_s - now_s
-    return told_to_wire(
-        seen.told,
-        cold_s=seen.cold_until_s - now_s,
+    ends_in_s = (
+        None if upstream.ends_at_s is None else upstream.ends_at_s - now_s
+    )
+    return announcement_to_wire(
+        upstream.told,
+        cold_s=upstream.cold_until_s - now_s,
         ends_in_s=ends_in_s,
-        silent=seen.silent,
+        silent=upstream.silent,
     )
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -14,7 +14,7 @@
 from godwitshunt.ingress import HeaderNames, IngressTask
 from godwitshunt.picking.client import PickerClient
 from godwitshunt.picking.neighbours import Neighbours
-from godwitshunt.picking.reports import Reports
+from godwitshunt.picking.reports import ReportBuilder
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.programs.start import (
     make_links,
@@ -76,7 +76,7 @@
             self.metrics,
         )
         self.watch.quarantine.length_s = settings.bounds.quarantine_s
-        self.reports = Reports(
+        self.reports = ReportBuilder(
             self.session,
             Upstreams(),
             self.watch.own_prefixes,
@@ -101,9 +101,9 @@
             self.metrics,
         )
 
-        authority = self.ingress.parts.authority
-        authority.age_s = self.configuration.quorum_age_s
-        authority.renew = self.configuration.ask_now
+        authorizer = self.ingress.context.authorizer
+        authorizer.age_s = self.configuration.quorum_age_s
+        authorizer.renew = self.configuration.ask_now
 
     def control(self) -> tuple[Address, ...]:
         """Return the peer addresses of the control VMs that are known.
@@ -151,7 +151,7 @@
         """
         if not self.is_told:
             self.is_told = True
-            self.watch.tell()
+            self.watch.report_now()
 
     async def start(self) -> None:
         """Start every part, the callers' listener last."""
@@ -178,7 +178,7 @@
     async def close(self) -> None:
         """Finish every request, then close every part."""
         self.ingress.draining = True
-        self.watch.tell()
+        self.watch.report_now()
         await self.ingress.close(
             self.settings.farewell_s,
             self.settings.drain_limit_s,
--- a/godwitshunt/quarantine/records.py
+++ b/godwitshunt/quarantine/records.py
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    place : str
+    incarnation : str
         The incarnation of an upstream, or the process of an entry VM.
     at_s : float
         When it was lost.
@@ -38,7 +38,7 @@
         Seconds for which it had the request.
     """
 
-    place: str
+    incarnation: str
     at_s: float
     exposure_s: float
 
@@ -64,13 +64,13 @@
     Examples
     --------
     >>> record = SuspectRecord(Fingerprint(bytes(16)), '', 5)
-    >>> record.take_loss(Loss('i-1', at_s=1.0, exposure_s=0.1))
+    >>> record.add_loss(Loss('i-1', at_s=1.0, exposure_s=0.1))
     True
-    >>> record.take_loss(Loss('i-2', at_s=2.0, exposure_s=0.1))
+    >>> record.add_loss(Loss('i-2', at_s=2.0, exposure_s=0.1))
     True
     >>> record.moments(), record.moments(explained={'i-1'})
     (2, 1)
-    >>> record.take_clearance('a-1', at_s=3.0), record.moments()
+    >>> record.add_clearance('a-1', at_s=3.0), record.moments()
     (True, 0)
     """
 
@@ -94,24 +94,24 @@
             key=moment,
         )
 
-    def take_loss(self, loss: Loss) -> bool:
+    def add_loss(self, loss: Loss) -> bool:
         """Take a loss; False where it changes nothing.
 
         Of two words of one loss the earlier counts. Each process that passes
         it on makes it look younger by the way of the message; so a loss that
         goes around among them cannot live for ever.
         """
-        known = self.losses.get(loss.place)
+        known = self.losses.get(loss.incarnation)
         if known is not None and known.at_s <= loss.at_s + EARLIER_BY_S:
             return False
-        self.losses[loss.place] = loss
+        self.losses[loss.incarnation] = loss
         if len(self.losses) <= MOST_PLACES:
             return True
         oldest = min(self.losses.values(), key=moment)
-        self.losses.pop(oldest.place)
+        self.losses.pop(oldest.incarnation)
         return oldest is not loss
 
-    def take_clearance(self, name: str, at_s: float) -> bool:
+    def add_clearance(self, name: str, at_s: float) -> bool:
         """Take a moment until which nothing counts; False for nothing new.
 
         Of two words of one moment the earlier counts, as with a loss.
@@ -127,9 +127,9 @@
 
     def join(self, other: 'SuspectRecord') -> bool:
         """Take all that another process knows; False for nothing new."""
-        changes = list(map(self.take_loss, other.losses.values()))
+        changes = list(map(self.add_loss, other.losses.values()))
         changes.extend(
-            self.take_clearance(name, at_s)
+            self.add_clearance(name, at_s)
             for name, at_s in other.clearances.items()
         )
         return any(changes)
@@ -149,7 +149,7 @@
         counted_s = -inf
         for loss in self.held():
             is_new = loss.at_s - counted_s > SAME_MOMENT_S
-            if is_new and loss.place not in explained:
+            if is_new and loss.incarnation not in explained:
                 moments += 1
                 counted_s = loss.at_s
         return moments
@@ -165,8 +165,8 @@
     def forget(self, until_s: float) -> bool:
         """Drop what was until a moment; False where there was nothing."""
         losses = {
-            place: loss
-            for place, loss in self.losses.items()
+            incarnation: loss
+            for incarnation, loss in self.losses.items()
             if loss.at_s > until_s
         }
         clearances = {
--- a/godwitshunt/quarantine/standing.py
+++ b/godwitshunt/quarantine/state.py
@@ -9,7 +9,7 @@
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import SuspectRecord
 from godwitshunt.quarantine.table import (
-    SUSPECTED_PLACES,
+    SUSPECTED_CRASHES,
     LostRequest,
     SuspectTable,
 )
@@ -27,7 +27,7 @@
     return secrets.token_hex(SESSION_BYTES)
 
 
-class Standing(Enum):
+class QuarantineStatus(Enum):
     """What is held against a request.
 
     `clear`: nothing that matters. `suspected`: upstreams ended under it, and
@@ -42,28 +42,28 @@
 
 
 @dataclass(frozen=True)
-class Believed:
+class Assessment:
     """A standing with its reasons.
 
     Parameters
     ----------
-    places : tuple of str
+    incarnations : tuple of str
         Those that ended under the request.
     wait_s : float
         Seconds until the end of its quarantine.
     """
 
-    standing: Standing
-    places: tuple[str, ...] = ()
+    status: QuarantineStatus
+    incarnations: tuple[str, ...] = ()
     wait_s: float = 0.0
 
     @property
     def reason(self) -> str:
         """What is told to callers and in logs."""
-        return f'{self.standing.value}: lost to {", ".join(self.places)}'
+        return f'{self.status.value}: lost to {", ".join(self.incarnations)}'
 
 
-CLEAR = Believed(Standing.clear)
+CLEAR = Assessment(QuarantineStatus.clear)
 
 
 @dataclass
@@ -95,16 +95,16 @@
     metrics: Metrics
     table: SuspectTable = field(default_factory=SuspectTable)
     own: SuspectTable = field(default_factory=SuspectTable)
-    told: dict[Fingerprint, Standing] = field(default_factory=dict)
+    told: dict[Fingerprint, QuarantineStatus] = field(default_factory=dict)
     told_version: int = 0
     probing: set[Fingerprint] = field(default_factory=set)
     session: str = field(default_factory=draw_session)
     numbers: Iterator[int] = field(default_factory=count)
 
-    def note_loss(self, lost: LostRequest) -> None:
+    def record_loss(self, lost: LostRequest) -> None:
         """Take a loss that was seen here."""
-        self.own.note_loss(lost)
-        if self.table.note_loss(lost):
+        self.own.record_loss(lost)
+        if self.table.record_loss(lost):
             self.metrics.count('quarantine_losses_total')
             self.tell_changes()
 
@@ -135,12 +135,12 @@
         """Tell whether a request of a length may be a suspected one."""
         return self.table.knows_length(body_bytes)
 
-    def believed(
+    def assessment(
         self,
         fingerprint: Fingerprint,
         *,
         is_probe: bool = False,
-    ) -> Believed:
+    ) -> Assessment:
         """Return what is held against a request now.
 
         Parameters
@@ -151,17 +151,21 @@
         record = self.table.records.get(fingerprint)
         if record is None:
             return CLEAR
-        places = tuple(one.place for one in record.held())
-        if fingerprint not in self.table.guilty():
-            if len(places) < SUSPECTED_PLACES:
+        incarnations = tuple(one.incarnation for one in record.held())
+        if fingerprint not in self.table.confirmed():
+            if len(incarnations) < SUSPECTED_CRASHES:
                 return CLEAR
-            return Believed(Standing.suspected, places)
+            return Assessment(QuarantineStatus.suspected, incarnations)
         wait_s = record.last_loss_s() + self.length_s - self.now()
         if wait_s > 0:
-            return Believed(Standing.quarantined, places, wait_s)
+            return Assessment(
+                QuarantineStatus.quarantined, incarnations, wait_s
+            )
         if fingerprint in self.probing and not is_probe:
-            return Believed(Standing.quarantined, places, self.length_s)
-        return Believed(Standing.on_probation, places)
+            return Assessment(
+                QuarantineStatus.quarantined, incarnations, self.length_s
+            )
+        return Assessment(QuarantineStatus.on_probation, incarnations)
 
     def begin_probe(self, fingerprint: Fingerprint) -> None:
         """Try a request on probation; others like it wait for its end."""
@@ -177,10 +181,10 @@
         return [
             {
                 'fingerprint': str(fingerprint),
-                'standing': standing.value,
+                'standing': status.value,
                 **self.evidence(fingerprint),
             }
-            for fingerprint, standing in self.told.items()
+            for fingerprint, status in self.told.items()
         ]
 
     def tick(self) -> None:
@@ -189,7 +193,7 @@
         for table in (self.table, self.own):
             table.forget(until_s)
         self.tell_changes()
-        self.metrics.gauge('quarantine_requests', len(self.table.guilty()))
+        self.metrics.gauge('quarantine_requests', len(self.table.confirmed()))
 
     def tell_changes(self) -> None:
         """Log each change of what is held against a request."""
@@ -201,17 +205,17 @@
 
     def tell_change(self, fingerprint: Fingerprint) -> None:
         """Log a change of what is held against one request."""
-        believed = self.believed(fingerprint)
-        before = self.told.get(fingerprint, Standing.clear)
-        if believed.standing is before:
+        assessment = self.assessment(fingerprint)
+        before = self.told.get(fingerprint, QuarantineStatus.clear)
+        if assessment.status is before:
             return
-        self.told[fingerprint] = believed.standing
-        if believed.standing is Standing.clear:
+        self.told[fingerprint] = assessment.status
+        if assessment.status is QuarantineStatus.clear:
             self.told.pop(fingerprint)
         log_change(
             'quarantine:standing_changed',
             fingerprint=str(fingerprint),
-            now=believed.standing.value,
+            now=assessment.status.value,
             before=before.value,
             **self.evidence(fingerprint),
         )
@@ -224,7 +228,7 @@
         now_s = self.now()
         return {
             'losses': [
-                f'{one.place} {now_s - one.at_s:.2f}s ago '
+                f'{one.incarnation} {now_s - one.at_s:.2f}s ago '
                 f'after {one.exposure_s:.3f}s'
                 for one in record.held()
             ],
--- a/godwitshunt/quarantine/tests/test_joining.py
+++ b/godwitshunt/quarantine/tests/test_joining.py
@@ -29,7 +29,7 @@
     body_bytes=st.just(5),
     loss=st.builds(
         Loss,
-        place=st.sampled_from(['i-1', 'i-2', 'i-3', 'i-4']),
+        incarnation=st.sampled_from(['i-1', 'i-2', 'i-3', 'i-4']),
         at_s=st.integers(0, 100).map(float),
         exposure_s=st.just(0.1),
     ),
@@ -50,15 +50,15 @@
     """Two processes of which one keeps a request back, and one does not."""
     first, second = SuspectTable(), SuspectTable()
     for one in told:
-        first.note_loss(one)
+        first.record_loss(one)
     shuffled = [*told, *told]
     Random(seed).shuffle(shuffled)
     for one in shuffled:
-        second.note_loss(one)
+        second.record_loss(one)
     second.join(first.since(0))
     first.join(second.since(0))
     assert shown(first) == shown(second)
-    assert first.guilty() == second.guilty()
+    assert first.confirmed() == second.confirmed()
 
 
 @given(told=st.lists(losses, max_size=20))
@@ -66,7 +66,7 @@
     """Two processes that tell one another the same for ever."""
     first, second = SuspectTable(), SuspectTable()
     for one in told:
-        first.note_loss(one)
+        first.record_loss(one)
     second.join(first.since(0))
     assert not first.join(second.since(0))
     version = second.version
@@ -78,7 +78,7 @@
     """A loss that looks younger with each way, and lives for ever."""
     first, second = SuspectTable(), SuspectTable()
     lethal = Fingerprint(bytes(16))
-    first.note_loss(LostRequest(lethal, '', 5, Loss('i-1', 10.0, 0.1)))
+    first.record_loss(LostRequest(lethal, '', 5, Loss('i-1', 10.0, 0.1)))
     now_s = 10.0
     for _ in range(100):
         for one, other in ((first, second), (second, first)):
@@ -98,13 +98,13 @@
     table, heard = SuspectTable(), SuspectTable()
     for number in range(700):
         name = Fingerprint(number.to_bytes(16, 'big'))
-        table.note_loss(LostRequest(name, '', 5, Loss('i-1', 1.0, 0.1)))
+        table.record_loss(LostRequest(name, '', 5, Loss('i-1', 1.0, 0.1)))
     version, rounds = 0, 0
     while version < table.version:
-        news = table.news(version)
-        assert len(news.records) <= 256
-        heard.join(news.records)
-        version = news.version
+        delta = table.delta(version)
+        assert len(delta.records) <= 256
+        heard.join(delta.records)
+        version = delta.version
         rounds += 1
     assert rounds == 3
     assert heard.records.keys() == table.records.keys()
@@ -115,12 +115,12 @@
     table = SuspectTable(most=100)
     for number in range(100):
         name = Fingerprint(number.to_bytes(16, 'big'))
-        table.note_loss(LostRequest(name, 'o-1', 5, Loss('i-1', 1.0, 0.1)))
+        table.record_loss(LostRequest(name, 'o-1', 5, Loss('i-1', 1.0, 0.1)))
     other = SuspectTable()
     for number in range(200, 450):
         name = Fingerprint(number.to_bytes(16, 'big'))
         organisation = f'o-{number % 2 + 2}'
-        other.note_loss(
+        other.record_loss(
             LostRequest(name, organisation, 5, Loss('i-1', 2.0, 0.1))
         )
     table.join(other.since(0))
--- a/godwitshunt/quarantine/tests/test_machine.py
+++ b/godwitshunt/quarantine/tests/test_machine.py
@@ -7,13 +7,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from godwitshunt.quarantine import (
-    GUILTY_MOMENTS,
-    GUILTY_PLACES,
+    CONFIRMED_CRASH_TIMES,
+    CONFIRMED_CRASHES,
     Fingerprint,
     Loss,
     LostRequest,
     Quarantine,
-    Standing,
+    QuarantineStatus,
 )
 from godwitshunt.quarantine.records import SAME_MOMENT_S
 from godwitshunt.registry.suspect_wire import (
@@ -40,7 +40,7 @@
     def __init__(self):
         super().__init__()
         self.now_s = 0.0
-        self.places = 0
+        self.incarnations = 0
         self.restarts = 0
         self.lethal_ends: list[float] = []
         self.heard: dict[tuple[int, int], int] = {}
@@ -63,11 +63,11 @@
 
     def lose_both(self, process, at_s):
         """Lose both requests to one more place, as one process sees it."""
-        self.places += 1
+        self.incarnations += 1
         for fingerprint, exposure_s in ((LETHAL, 0.1), (POPULAR, 0.5)):
-            loss = Loss(f'i-{self.places}', at_s, exposure_s)
+            loss = Loss(f'i-{self.incarnations}', at_s, exposure_s)
             lost = LostRequest(fingerprint, '', 5, loss)
-            self.quarantines[process].note_loss(lost)
+            self.quarantines[process].record_loss(lost)
         self.lethal_ends.append(at_s)
 
     @rule(process=processes)
@@ -80,12 +80,12 @@
     def tell(self, teller, hearer):
         """Let one process hear what is new at another one."""
         held = self.heard.get((teller, hearer), 0)
-        news = self.quarantines[teller].table.news(held)
-        told = suspects_to_wire(news.records, self.now_s)
+        delta = self.quarantines[teller].table.delta(held)
+        told = suspects_to_wire(delta.records, self.now_s)
         self.now_s += WAY_S
         records = suspects_from_wire(told, self.now_s)
         self.quarantines[hearer].join(records)
-        self.heard[teller, hearer] = news.version
+        self.heard[teller, hearer] = delta.version
 
     @rule(process=processes)
     def restart(self, process):
@@ -108,16 +108,16 @@
 
     def may_be_guilty(self) -> bool:
         """Tell whether enough places ended at enough moments."""
-        if self.places < GUILTY_PLACES:
+        if self.incarnations < CONFIRMED_CRASHES:
             return False
-        return self.moments() >= GUILTY_MOMENTS
+        return self.moments() >= CONFIRMED_CRASH_TIMES
 
     @invariant()
     def nobody_is_held_guilty_by_fewer_ends(self):
         """Three places that ended, at two moments, are the least."""
         if not self.may_be_guilty():
             for one in self.quarantines:
-                assert not one.table.guilty()
+                assert not one.table.confirmed()
 
     @invariant()
     def one_that_is_answered_now_is_clear_here(self):
@@ -125,17 +125,17 @@
         for one in self.quarantines:
             record = one.table.records.get(POPULAR)
             if record is not None and record.cleared_s == self.now_s:
-                assert one.believed(POPULAR).standing is Standing.clear
+                assert one.assessment(POPULAR).status is QuarantineStatus.clear
 
     def teardown(self):
         """Let all hear of all: then all believe the same."""
         for _ in range(PROCESSES + 1):
             for teller, hearer in permutations(range(PROCESSES), 2):
                 self.tell(teller, hearer)
-        guilty = [set(one.table.guilty()) for one in self.quarantines]
-        assert all(one == guilty[0] for one in guilty)
+        confirmed = [set(one.table.confirmed()) for one in self.quarantines]
+        assert all(one == confirmed[0] for one in confirmed)
         if self.may_be_guilty() and not self.restarts:
-            assert LETHAL in guilty[0]
+            assert LETHAL in confirmed[0]
         told = [one.table.version for one in self.quarantines]
         for teller, hearer in permutations(range(PROCESSES), 2):
             self.tell(teller, hearer)
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -10,9 +10,9 @@
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.quarantine import (
     QUARANTINE_S,
-    SUSPECTED_PLACES,
+    SUSPECTED_CRASHES,
     Quarantine,
-    SuspectNews,
+    SuspectUpdate,
 )
 from godwitshunt.registry.control_tables import ControlTables
 from godwitshunt.registry.entries import EntryTable
@@ -20,9 +20,9 @@
 from godwitshunt.registry.keeper import UpstreamKeeper
 from godwitshunt.registry.kept_upstreams import KeptUpstreams
 from godwitshunt.registry.ledger import LoadLedger, Report, SummedLoads
-from godwitshunt.registry.prefixes import PrefixRead, PrefixTable
+from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.registry.records import EntryRecord, UpstreamAnnounced
-from godwitshunt.registry.relay import ControlPlace, Scope, own_news
+from godwitshunt.registry.relay import ControlLocation, Scope, own_news
 from godwitshunt.registry.suspect_wire import (
     suspects_from_wire,
     suspects_to_wire,
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    place : ControlPlace
+    place : ControlLocation
         Where this control VM stands, and which others there are.
     links : PeerLinks
         Carry the polls.
@@ -78,7 +78,7 @@
 
     def __init__(
         self,
-        place: ControlPlace,
+        place: ControlLocation,
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
@@ -123,7 +123,7 @@
     @classmethod
     def from_config(
         cls,
-        place: ControlPlace,
+        place: ControlLocation,
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
@@ -165,43 +165,43 @@
         """
         return await self.keeper.settle()
 
-    def announce(self, told: UpstreamAnnounced) -> AnnounceOutcome:
+    def announce(self, announcement: UpstreamAnnounced) -> AnnounceOutcome:
         """Take an upstream's announcement."""
-        known = self.upstreams.entries.get(told.instance)
-        outcome = self.upstreams.announce(told, self.timer.now())
+        known = self.upstreams.entries.get(announcement.instance)
+        outcome = self.upstreams.announce(announcement, self.timer.now())
         self.metrics.count(
             'registry_announcements_total',
             outcome=type(outcome).__name__,
         )
         if isinstance(outcome, Taken):
-            self.log_announced(known, told)
+            self.log_announced(known, announcement)
         return outcome
 
     def log_announced(
         self,
         known: UpstreamEntry | None,
-        told: UpstreamAnnounced,
+        announcement: UpstreamAnnounced,
     ) -> None:
         """Log an upstream that is new here or begins to drain.
 
         The entry in the table is the same object before and after; only a
         new one, or a first word of draining, is a change of what we believe.
         """
-        now_known = self.upstreams.entries.get(told.instance)
+        now_known = self.upstreams.entries.get(announcement.instance)
         changed = now_known is not None and (
             now_known.version == self.upstreams.version
         )
         if known is None or changed:
             log_change(
                 'registry:upstream_announced',
-                instance=told.instance,
-                service=told.service,
-                address=str(told.address),
-                failure_domain=told.failure_domain,
-                draining=told.draining,
-                cold_s=told.cold_s,
-                sequence=told.sequence,
-                born_ms=told.born_ms,
+                instance=announcement.instance,
+                service=announcement.service,
+                address=str(announcement.address),
+                failure_domain=announcement.failure_domain,
+                draining=announcement.draining,
+                cold_s=announcement.cold_s,
+                sequence=announcement.sequence,
+                born_ms=announcement.born_ms,
                 version=self.upstreams.version,
             )
 
@@ -237,7 +237,7 @@
 
     def leave(self, incarnation: str) -> None:
         """Note that an incarnation is no longer at its address."""
-        self.tables.leave(incarnation)
+        self.tables.mark_replaced(incarnation)
 
     def tick(self) -> None:
         """Note who has fallen silent."""
@@ -285,9 +285,9 @@
         if poll.report is None:
             self.ledger.forget(record.name)
         else:
-            self.take_report(record.name, poll.report)
+            self.apply_report(record.name, poll.report)
 
-    def take_report(self, name: str, report: ttypes.LoadReport) -> bool:
+    def apply_report(self, name: str, report: ttypes.LoadReport) -> bool:
         """Take an entry VM's requests; False where later ones are known."""
         now_s = self.timer.now()
         self.take_prefixes(report.prefixes, now_s)
@@ -305,11 +305,11 @@
 
     def take_prefixes(
         self,
-        told: list[ttypes.PrefixInfo] | None,
+        announcement: list[ttypes.PrefixInfo] | None,
         now_s: float,
     ) -> None:
         """Take what an entry VM's requests have shown of kept prompts."""
-        for read in prefixes_from_wire(told, now_s):
+        for read in prefixes_from_wire(announcement, now_s):
             self.heard_prefixes.note(read)
             self.prefixes.note(read)
 
@@ -337,7 +337,7 @@
             suspects_version=suspects.version,
         )
 
-    def suspects_for(self, poll: ttypes.Poll) -> SuspectNews:
+    def suspects_for(self, poll: ttypes.Poll) -> SuspectUpdate:
         """Return the suspected requests that are new to whoever asks.
 
         Entry VMs hear of those that may soon be kept back; control VMs of
@@ -345,9 +345,9 @@
         """
         version = poll.suspects_version
         if version is None or version < 0:
-            return SuspectNews((), None)
-        least = 0 if poll.from_control else SUSPECTED_PLACES
-        return self.quarantine.table.news(version, least)
+            return SuspectUpdate((), None)
+        least = 0 if poll.from_control else SUSPECTED_CRASHES
+        return self.quarantine.table.delta(version, least)
 
     def own_news(
         self,
@@ -399,7 +399,7 @@
 def prefixes_after(
     prefixes: PrefixTable,
     version: int | None,
-) -> tuple[PrefixRead, ...]:
+) -> tuple[CachedPrefix, ...]:
     """Return what was read after a version; nothing where not asked."""
     if version is None or version < 0:
         return ()
--- a/godwitshunt/routing/limits.py
+++ b/godwitshunt/routing/limits.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class LimitNews:
+class LimitUpdate:
     """What one VM tells one peer.
 
     Parameters
@@ -134,7 +134,7 @@
         The VM's own part of each caller's limit.
     incarnation : int
         Random number of this process.
-    lenders : mapping of str to frozenset of str, or None
+    grantors : mapping of str to frozenset of str, or None
         Peers to ask for a caller's loans; None asks whoever is told.
 
     Notes
@@ -148,7 +148,7 @@
 
     quotas: Mapping[str, CallerQuota]
     incarnation: int = 0
-    lenders: Mapping[str, frozenset[str]] | None = None
+    grantors: Mapping[str, frozenset[str]] | None = None
     buckets: dict[str, Bucket] = field(default_factory=dict)
     meters: dict[str, DemandMeter] = field(default_factory=dict)
     loans: dict[tuple[str, str], Loan] = field(default_factory=dict)
@@ -166,11 +166,11 @@
     def configure(
         self,
         quotas: Mapping[str, CallerQuota],
-        lenders: Mapping[str, frozenset[str]] | None = None,
+        grantors: Mapping[str, frozenset[str]] | None = None,
     ) -> None:
         """Take the quotas of a newer manifest or set of VMs."""
         self.quotas = quotas
-        self.lenders = lenders
+        self.grantors = grantors
         for table in (self.buckets, self.meters):
             for caller in tuple(table):
                 if caller not in quotas:
@@ -186,7 +186,7 @@
             return Limited(LOAN_S)
         meter = self.meters.setdefault(caller, DemandMeter())
         # Limited requests count as well: demand is what callers want.
-        meter.note(now)
+        meter.record(now)
         rate = self.rate(caller, now)
         bucket = self.buckets.get(caller)
         if bucket is None:
@@ -214,7 +214,7 @@
         )
         return max(0.0, quota - lent)
 
-    def receive(self, peer: str, news: LimitNews, now: float) -> None:
+    def receive(self, peer: str, news: LimitUpdate, now: float) -> None:
         """Take a peer's message; one that is older than the last is ignored."""
         known = self.peers.get(peer)
         if known is not None and is_older(news.stamp, known.stamp):
@@ -239,37 +239,37 @@
                 burst = self.quotas[caller].burst
                 bucket.settle(self.rate(caller, now), burst, now)
 
-    def compose(self, peer: str, now: float) -> LimitNews:
+    def compose_update(self, peer: str, now: float) -> LimitUpdate:
         """Return the message for a peer, lending it what it may use."""
         known = self.peers.get(peer)
-        return LimitNews(
+        return LimitUpdate(
             stamp=Stamp(self.incarnation, now),
             echo=None if known is None else known.stamp,
             unmet=self.unmet_for(peer, now),
             lent=self.lend(peer, now),
         )
 
-    def peers_to_tell(self, now: float) -> frozenset[str]:
+    def peers_to_notify(self, now: float) -> frozenset[str]:
         """Return peers to ask for loans, and those that asked lately."""
         asked = [
             name
             for name, peer in self.peers.items()
             if peer.unmet and now - peer.heard_s <= LOAN_S
         ]
-        lenders = self.lenders or {}
+        grantors = self.grantors or {}
         for caller in self.unmet(now):
-            asked.extend(lenders.get(caller, ()))
+            asked.extend(grantors.get(caller, ()))
         return frozenset(asked)
 
     def unmet_for(self, peer: str, now: float) -> dict[str, float]:
         """Return the unmet demand that a peer is asked for."""
         wanted = self.unmet(now)
-        if self.lenders is None:
+        if self.grantors is None:
             return wanted
         return {
             caller: missing
             for caller, missing in wanted.items()
-            if peer in self.lenders.get(caller, ())
+            if peer in self.grantors.get(caller, ())
         }
 
     def unmet(self, now: float) -> dict[str, float]:
@@ -327,7 +327,7 @@
         """Return the rate that is never lent."""
         return self.quotas[caller].rate_per_s * KEPT_SHARE
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop peers, loans and meters that no longer matter."""
         self.settle(self.meters, now)
         for name, peer in tuple(self.peers.items()):
--- a/godwitshunt/routing/tests/test_overload.py
+++ b/godwitshunt/routing/tests/test_overload.py
@@ -75,7 +75,7 @@
     queues = queue()
     for number in range(drained):
         queues.offer(ticket(number), 0.0)
-        queues.taken(ticket(number), number / drained)
+        queues.dispatch(ticket(number), number / drained)
     queues.waiting['urgent'] = {at: ticket(at) for at in range(100, 120)}
     outcome = queues.offer(ticket(99, answer_s=answer_s), 1.0)
     assert isinstance(outcome, Queued) == accepted
@@ -95,7 +95,7 @@
         order.append(chosen.request_class)
         share = queues.slot_share(chosen, 0.5, second)
         assert (share == 1) == (chosen.number == 1)
-        queues.taken(chosen, second)
+        queues.dispatch(chosen, second)
     assert 40 <= order.index('long') <= 44
     assert order.count('urgent') == 99
 
@@ -137,14 +137,14 @@
             if isinstance(queues.offer(offered, now), Queued):
                 accepted.add(number)
         elif event == 'expire':
-            ended += [late.number for late in queues.expired(now)]
+            ended += [late.number for late in queues.remove_expired(now)]
         else:
             chosen = queues.next_ticket(now)
             if chosen is not None:
-                queues.taken(chosen, now)
+                queues.dispatch(chosen, now)
                 ended.append(chosen.number)
-                assert not queues.withdrawn(chosen)
-    ended += [late.number for late in queues.expired(now + 99)]
+                assert not queues.withdraw(chosen)
+    ended += [late.number for late in queues.remove_expired(now + 99)]
     assert sorted(ended) == sorted(accepted)
 
 
@@ -158,7 +158,7 @@
     found = OutlierDetector()
     for _ in range(samples):
         for name in NAMES:
-            found.note(name, outcomes.get(name, FAST), NAMES, 0.0)
+            found.record(name, outcomes.get(name, FAST), NAMES, 0.0)
     return found
 
 
@@ -185,17 +185,17 @@
     found = detector({'e2': Failed()})
     later = FIRST_EJECTION_S + 0.1
     assert found.excluded(later) == set()
-    found.note_sent('e2')
+    found.record_sent('e2')
     assert found.excluded(later) == {'e2'}
-    found.note('e2', Failed(), NAMES, later)
+    found.record('e2', Failed(), NAMES, later)
     assert found.excluded(later + FIRST_EJECTION_S) == {'e2'}
     later += 2 * FIRST_EJECTION_S
     for _ in range(2):
         assert found.excluded(later) == set()
-        found.note_sent('e2')
-        found.note('e2', FAST, NAMES, later)
+        found.record_sent('e2')
+        found.record('e2', FAST, NAMES, later)
     assert not found.is_ejected('e2')
-    found.forget(('e1',))
+    found.remove_absent(('e1',))
     assert set(found.states) == {'e1'}
 
 
@@ -215,7 +215,7 @@
     sent = 0
     for tick in range(seconds * 100):
         if not ramp.held(1.0 + tick / 100):
-            ramp.note_sent('e1', uncached_tokens)
+            ramp.record_sent('e1', uncached_tokens)
             sent += 1
     return sent
 
@@ -268,7 +268,7 @@
     for seed in range(60):
         chosen.append(decide(router, all_four, seed=seed).upstream.name)
         if chosen[-1] == 'e0':
-            router.note_outcome(engines[0], Failed())
+            router.record_outcome(engines[0], Failed())
     assert router.held('chat', 0.0) == {'e0'}
     assert chosen.count('e0') < 10
     timer.advance(FIRST_EJECTION_S + 1)
--- a/godwitshunt/routing/upstream_health.py
+++ b/godwitshunt/routing/upstream_health.py
@@ -8,9 +8,9 @@
 from godwitshunt.registry.records import Load
 
 # An upstream that refused a connection is left alone for so long.
-DOWN_S = 1.0
+CONNECT_BACKOFF_S = 1.0
 # One that refused a request as full gets no other for so long.
-FULL_S = 0.15
+FULL_BACKOFF_S = 0.15
 # Weight of one more answer in the moving average of delays, and the time in
 # which an average that nothing adds to falls by half: a delay of five seconds
 # ago says little of a queue that is read in one.
@@ -38,9 +38,9 @@
         Requests of this VM that have not ended there.
     pending_tokens : int
         Prompt tokens of those that wait for their first event.
-    heard_s : float
+    last_seen_s : float
         When bytes last came from it.
-    unreached_s : float
+    connect_failed_s : float
         When a connection to it last failed: it may have started again since,
         and be cold before anybody has heard so.
     delay_s : float
@@ -56,8 +56,8 @@
 
     in_flight: int = 0
     pending_tokens: int = 0
-    heard_s: float = float('-inf')
-    unreached_s: float = float('-inf')
+    last_seen_s: float = float('-inf')
+    connect_failed_s: float = float('-inf')
     down_until_s: float = float('-inf')
     full_until_s: float = float('-inf')
     delay_s: float = 0.0
@@ -75,9 +75,11 @@
         self.pending_tokens += tokens
         self.waiting_since[number] = now_s
 
-    def show_life(self, number: int, tokens: int, now_s: float) -> None:
+    def record_first_bytes(
+        self, number: int, tokens: int, now_s: float
+    ) -> None:
         """Note a request's first sign of an answer."""
-        self.heard_s = now_s
+        self.last_seen_s = now_s
         if self.waiting_since.pop(number, None) is not None:
             self.pending_tokens -= tokens
 
@@ -87,31 +89,31 @@
         if self.waiting_since.pop(number, None) is not None:
             self.pending_tokens -= tokens
 
-    def miss(self, now_s: float) -> None:
+    def record_connect_failure(self, now_s: float) -> None:
         """Note that a connection to it failed."""
-        self.unreached_s = now_s
-        self.down_until_s = now_s + DOWN_S
+        self.connect_failed_s = now_s
+        self.down_until_s = now_s + CONNECT_BACKOFF_S
 
-    def mute_s(self, now_s: float) -> float:
+    def unresponsive_s(self, now_s: float) -> float:
         """Return how long it has shown nothing that was waited for.
 
         Zero where no request waits; else the time since the oldest waiting
         request was sent or since it last sent bytes, whichever is later.
         """
-        oldest_s = self.oldest_s()
-        if oldest_s is None:
+        oldest_sent_s = self.oldest_sent_s()
+        if oldest_sent_s is None:
             return 0.0
-        return max(0.0, now_s - max(oldest_s, self.heard_s))
+        return max(0.0, now_s - max(oldest_sent_s, self.last_seen_s))
 
-    def oldest_s(self) -> float | None:
+    def oldest_sent_s(self) -> float | None:
         """Return when the oldest waiting request was sent; None for none."""
         return min(self.waiting_since.values(), default=None)
 
-    def note_reported(
+    def record_report(
         self,
         reporter: str,
-        oldest_s: float | None,
-        heard_s: float | None,
+        oldest_sent_s: float | None,
+        last_seen_s: float | None,
     ) -> None:
         """Note what another VM reports of its requests there.
 
@@ -119,18 +121,18 @@
         ----------
         reporter : str
             Its name.
-        oldest_s : float or None
+        oldest_sent_s : float or None
             When the oldest of its waiting requests was sent.
-        heard_s : float or None
+        last_seen_s : float or None
             When it last heard bytes of the upstream.
         """
         self.waiting_since.pop(reporter, None)
-        if oldest_s is not None:
-            self.waiting_since[reporter] = oldest_s
-        if heard_s is not None:
-            self.heard_s = max(self.heard_s, heard_s)
+        if oldest_sent_s is not None:
+            self.waiting_since[reporter] = oldest_sent_s
+        if last_seen_s is not None:
+            self.last_seen_s = max(self.last_seen_s, last_seen_s)
 
-    def note_time(
+    def record_response_time(
         self,
         took_s: float,
         predicted_s: float,
