--- a/godwitshunt/claims/claims.thrift
+++ b/godwitshunt/claims/claims.thrift
@@ -35,7 +35,7 @@
 }
 
 struct ClaimReply {
-  /** The name of a verdict; see godwitshunt.claims.verdicts. */
+  /** The number of a verdict; see godwitshunt.claims.verdicts. */
   1: i32 verdict
   2: optional Standing standing
   3: optional string vm
--- a/godwitshunt/claims/tests/test_task.py
+++ b/godwitshunt/claims/tests/test_task.py
@@ -322,7 +322,7 @@
 
 
 async def test_keys_last_one_to_two_epochs_and_their_memory_is_freed():
-    """A caller resends a key after its claim was dropped.
+    """A caller resends a key an hour later, when its claim has been dropped.
 
     The resend must be refused and not run.
     """
