--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -18,8 +18,8 @@
 
 from godwitshunt.manifest import OrganisationLimit
 from godwitshunt.organisations import (
+    AdmissionShare,
     LimitPool,
-    Standing,
     fixed_shares,
     usable_share,
 )
@@ -129,7 +129,7 @@
             or now_s - self.peers_seen_s.get((region, other), -PEER_TIMEOUT_S)
             < PEER_TIMEOUT_S
         }
-        standing = Standing(
+        standing = AdmissionShare(
             part=usable_share(str(region), names, tuple(names), heard),
             share=1 / REGIONS,
             peers_seen_s=min(
@@ -144,7 +144,7 @@
         pool = self.pools[region]
         if pool.wait_s(NAME, 1.0, standing, now_s):
             return False
-        pool.take(NAME, 1.0, now_s)
+        pool.charge(NAME, 1.0, now_s)
         return True
 
     def tell(self, now_s: float) -> None:
@@ -160,7 +160,7 @@
             sums = dict(self.pools[other].admitted)
             asof_s = now_s - WAY_S
             share = shares[str(other)]
-            self.pools[region].hear(source, sums, asof_s, share)
+            self.pools[region].apply_peer_totals(source, sums, asof_s, share)
             self.peers_seen_s[region, other] = asof_s
 
 
@@ -197,11 +197,11 @@
             for other in range(REGIONS)
             if self.trouble.hears(region_of(vm), other, now_s - PEER_TIMEOUT_S)
         ]
-        standing = Standing(part=len(heard) / REGIONS)
+        standing = AdmissionShare(part=len(heard) / REGIONS)
         pool = self.pools[vm]
         if pool.wait_s(NAME, 1.0, standing, now_s):
             return False
-        pool.take(NAME, 1.0, now_s)
+        pool.charge(NAME, 1.0, now_s)
         return True
 
     def tell(self, now_s: float) -> None:
@@ -221,7 +221,7 @@
             )
             source = 'all others'
             asof_s = now_s - WAY_S
-            self.pools[vm].hear(source, {NAME: total}, asof_s)
+            self.pools[vm].apply_peer_totals(source, {NAME: total}, asof_s)
 
 
 @dataclass
@@ -261,7 +261,7 @@
             return
         self.next_s = now_s + GOSSIP_S
         for vm, one in enumerate(self.limits):
-            one.forget(now_s)
+            one.expire(now_s)
             for name in one.peers_to_notify(now_s):
                 other = int(name)
                 here, there = region_of(vm), region_of(other)
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -8,10 +8,10 @@
 )
 from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.authorization import Authorizer
+from godwitshunt.ingress.crash_detector import CrashWitness
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.witness import CrashWitness
-from godwitshunt.organisations import Standing
-from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.organisations import AdmissionShare
+from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.choices import ChoiceRequest
 from godwitshunt.picking.chooser import (
     Chooser,
@@ -74,7 +74,7 @@
     upstreams: Upstreams
     neighbours: Neighbours
     chooser: Chooser
-    learner: Learner
+    attempt_recorder: AttemptRecorder
     picker: PickerClient
     budgets: Budgets
     witness: CrashWitness
@@ -88,7 +88,7 @@
         """What is held against requests that upstreams ended under."""
         return self.watch.quarantine
 
-    def limit_standing(self) -> Standing:
+    def limit_standing(self) -> AdmissionShare:
         """Return this VM's part of organisations' limits, without a picker.
 
         The region's share is left by all other pickers while they don't hear
@@ -97,7 +97,7 @@
         regions = set(self.settings.domains.values())
         regions.add(self.settings.region)
         part = 1 / len(regions) / self.neighbours.count_in_region()
-        return Standing(part, part)
+        return AdmissionShare(part, part)
 
     def cold_share(self) -> float:
         """Return this VM's part of what cold upstreams of its region may get.
@@ -115,7 +115,7 @@
         """Tell whether this VM may send a cold upstream one more request."""
         cold = ask.service.cold_start
         return cold is None or self.budgets.cold.has_room(
-            upstream.told.incarnation,
+            upstream.announcement.incarnation,
             cold.requests_per_s,
             self.cold_share(),
             ask.now_s,
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -11,10 +11,9 @@
     render_problem,
 )
 from godwitshunt.exchange.requests import AnswerWriter
-from godwitshunt.ingress.account import RequestAccount, Stage
 from godwitshunt.ingress.attempt import ARRIVED_HEADER, QUARANTINED_HEADER
 from godwitshunt.ingress.context import IngressContext
-from godwitshunt.ingress.learning import place_of
+from godwitshunt.ingress.feedback import place_of
 from godwitshunt.ingress.outcomes import (
     Again,
     AttemptOutcome,
@@ -27,6 +26,7 @@
     RefuseWith,
     Step,
 )
+from godwitshunt.ingress.request_trace import RequestAccount, Stage
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.ingress.sending import MARGIN_S, Sender
 from godwitshunt.picking.choices import (
@@ -236,7 +236,7 @@
                 return NoPlace(overloaded=True, retry_after_s=RETRY_AFTER_S)
             if isinstance(choice, HandOver) or self.may_send(choice):
                 return choice
-            self.sender.excluded.add(choice.upstream.told.incarnation)
+            self.sender.excluded.add(choice.upstream.announcement.incarnation)
 
     async def ask_picker(self) -> Choice | None:
         """Return the picker's choice; None where this VM must choose.
@@ -245,7 +245,9 @@
         of the configuration in force; such a place is not used.
         """
         for _ in range(MOST_QUESTIONS):
-            choice = await self.context.picker.place(self.question())
+            choice = await self.context.picker.request_destination(
+                self.question()
+            )
             self.note_counted(choice)
             if choice is None or self.is_sound(choice):
                 return choice
@@ -302,12 +304,14 @@
         What this VM has heard from any control VM holds: that an upstream
         leaves, that its start is over, that its failure domain is evacuated.
         """
-        told = upstream.told
+        told = upstream.announcement
         homes = self.request.route.homes
         known = self.context.watch.view().upstreams.get(
             told.incarnation, upstream
         )
-        leaves = known.told.draining or self.context.watch.has_ended(told)
+        leaves = known.announcement.draining or self.context.watch.has_ended(
+            told
+        )
         is_home = not homes or self.context.settings.region in homes
         evacuated = self.context.active_revision().revision.evacuated
         is_evacuated = told.failure_domain in evacuated
@@ -317,7 +321,7 @@
         """Ask for another place than this one."""
         match choice:
             case SendHere(upstream=upstream):
-                self.sender.excluded.add(upstream.told.incarnation)
+                self.sender.excluded.add(upstream.announcement.incarnation)
             case HandOver(entry=entry):
                 self.sender.excluded.add(entry.region)
 
@@ -345,7 +349,7 @@
                 return Limited(wait_s)
         choice = self.choose_alone_unlimited()
         if is_limited and not isinstance(choice, NoPlace):
-            limits.take(name, cost, now_s)
+            limits.charge(name, cost, now_s)
         return choice
 
     def choose_alone_unlimited(self) -> Choice:
@@ -388,7 +392,7 @@
         if choice.chosen_by_picker or not choice.is_cold or cold is None:
             return True
         return self.context.budgets.cold.spend(
-            choice.upstream.told.incarnation,
+            choice.upstream.announcement.incarnation,
             cold.requests_per_s,
             self.context.cold_share(),
             self.context.timer.now(),
--- a/godwitshunt/ingress/tests/test_young_vm.py
+++ b/godwitshunt/ingress/tests/test_young_vm.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from godwitshunt.ingress.life import RequestLife
+from godwitshunt.ingress.lifecycle import RequestLife
 from godwitshunt.ingress.task import IngressTask
 from godwitshunt.picking.choices import (
     NoPlace,
@@ -31,7 +31,7 @@
 
 @pytest.fixture(autouse=True)
 def _no_wait(monkeypatch):
-    monkeypatch.setattr('godwitshunt.ingress.life.NEWS_WAIT_S', 0)
+    monkeypatch.setattr('godwitshunt.ingress.lifecycle.NEWS_WAIT_S', 0)
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
     """Other VMs take requests a moment later than this one asked first."""
     deployment = Deployment()
     watch = deployment.entry(101)
-    await deployment.greet(watch)
+    await deployment.poll_controls(watch)
     watch.started_s = deployment.timer.now()
     asked: list[str] = []
     watch.start_poll = lambda target: asked.append(str(target))
--- a/godwitshunt/organisations/tests/test_limits.py
+++ b/godwitshunt/organisations/tests/test_limits.py
@@ -14,8 +14,8 @@
 
 from godwitshunt.manifest import OrganisationLimit
 from godwitshunt.organisations import (
+    AdmissionShare,
     LimitPool,
-    Standing,
     fixed_shares,
     usable_share,
 )
@@ -58,7 +58,7 @@
         self.pool.configure({NAME: LIMIT}, now_s, starts=True)
         self.heard = {}
 
-    def standing(self, now_s: float) -> Standing:
+    def standing(self, now_s: float) -> AdmissionShare:
         """Return what it may admit by."""
         fresh = {
             name: asof_s
@@ -66,7 +66,7 @@
             if now_s - asof_s <= PEER_TIMEOUT_S
         }
         heard = {*fresh, self.name}
-        return Standing(
+        return AdmissionShare(
             part=usable_share(self.name, REGIONS, PICKERS, heard),
             share=fixed_shares(REGIONS)[self.name],
             peers_seen_s=min(fresh.values(), default=inf),
@@ -109,7 +109,7 @@
         standing = node.standing(self.now_s)
         if node.pool.wait_s(NAME, cost, standing, self.now_s):
             return False
-        node.pool.take(NAME, cost, self.now_s)
+        node.pool.charge(NAME, cost, self.now_s)
         self.admitted.append((self.now_s, cost))
         return True
 
@@ -146,7 +146,7 @@
                 continue
             source = f'{sender.name} {sender.process}'
             share = fixed_shares(REGIONS)[sender.name]
-            node.pool.hear(source, sums, asof_s, share)
+            node.pool.apply_peer_totals(source, sums, asof_s, share)
             node.heard[sender.name] = asof_s
 
     def cut(self, region: str) -> None:
@@ -175,7 +175,7 @@
         return units / (RATE * (self.now_s - since_s))
 
 
-ALL = Standing()
+ALL = AdmissionShare()
 FIRST = {'a-1': 1.0, 'b-1': 1.0, 'c-1': 1.0}
 
 
@@ -284,9 +284,9 @@
     """
     pool = LimitPool()
     pool.configure({NAME: LIMIT}, 0.0, starts=False)
-    pool.hear('b-1', {NAME: 0.0}, 0.0)
+    pool.apply_peer_totals('b-1', {NAME: 0.0}, 0.0)
     assert not pool.wait_s(NAME, 5.0, ALL, 6.0)
-    pool.hear('b-1', {NAME: 600.0}, 6.0)
+    pool.apply_peer_totals('b-1', {NAME: 600.0}, 6.0)
     assert not pool.wait_s(NAME, 5.0, ALL, 6.2)
 
 
@@ -301,7 +301,7 @@
     for tick in range(160):
         now_s = 1.0 + tick * STEP_S
         if not pool.wait_s(NAME, 1.0, ALL, now_s):
-            pool.take(NAME, 1.0, now_s)
+            pool.charge(NAME, 1.0, now_s)
             admitted += 1.0
     assert admitted <= 10.0 * WINDOW_S + 10.0
     pool.configure({NAME: LIMIT}, 9.0, starts=False)
@@ -312,9 +312,9 @@
     """A VM had no picker for a moment, and admitted by its own part."""
     pool = LimitPool()
     pool.configure({NAME: LIMIT}, 0.0, starts=False)
-    pool.hear_vm('vm-1', {}, 0.0)
-    pool.hear_vm('vm-1', {NAME: 80.0}, 0.1)
-    pool.hear_vm('vm-1', {NAME: 80.0}, 0.2)
+    pool.apply_vm_totals('vm-1', {}, 0.0)
+    pool.apply_vm_totals('vm-1', {NAME: 80.0}, 0.1)
+    pool.apply_vm_totals('vm-1', {NAME: 80.0}, 0.2)
     assert pool.admitted == {NAME: 80.0}
     assert pool.wait_s(NAME, 60.0, ALL, 0.2) > 0
 
@@ -327,12 +327,12 @@
     """
     pool = LimitPool()
     pool.configure({NAME: LIMIT}, 0.0, starts=False)
-    told = Standing(share=0.3, peers_seen_s=0.9, allowance=4 * RATE)
+    told = AdmissionShare(share=0.3, peers_seen_s=0.9, allowance=4 * RATE)
     for _ in range(3):
         assert not pool.wait_s(NAME, 30.0, told, 1.0)
-        pool.take(NAME, 30.0, 1.0)
+        pool.charge(NAME, 30.0, 1.0)
     assert pool.wait_s(NAME, 30.0, told, 1.0) > 0
-    untold = Standing(share=0.3, peers_seen_s=0.9)
+    untold = AdmissionShare(share=0.3, peers_seen_s=0.9)
     assert pool.wait_s(NAME, 30.0, untold, 1.0) > 0
 
 
@@ -341,7 +341,7 @@
     pool = LimitPool()
     pool.configure({NAME: LIMIT}, 0.0, starts=False)
     assert not pool.wait_s(NAME, 350.0, ALL, 0.0)
-    pool.take(NAME, 350.0, 0.0)
+    pool.charge(NAME, 350.0, 0.0)
     # 250 are owed, and one for the next one.
     assert pool.wait_s(NAME, 1.0, ALL, 0.0) == pytest.approx(2.51)
 
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -4,7 +4,7 @@
 
 from godwitshunt.exceptions import FrameError
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
-from godwitshunt.picking.attempt_reports import AttemptShown
+from godwitshunt.picking.attempt_reports import AttemptReport
 from godwitshunt.picking.choices import Choice
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.picker import DestinationRequest
@@ -60,13 +60,15 @@
         self.metrics = metrics
         self.is_due = False
 
-    async def place(self, question: DestinationRequest) -> Choice | None:
+    async def request_destination(
+        self, question: DestinationRequest
+    ) -> Choice | None:
         """Return where a request goes; None where this VM must choose."""
         picker = self.watch.picker()
         if picker is None:
             return None
         name = str(picker)
-        report = self.reports.make(self.watch.contacts.of(name).source)
+        report = self.reports.make(self.watch.contacts.for_control(name).source)
         reply = await self.links.call(
             picker,
             MessageKind.place_ask,
@@ -105,10 +107,10 @@
             request=question.request,
             reason=reason,
         )
-        self.watch.contacts.of(str(picker)).fail()
+        self.watch.contacts.for_control(str(picker)).record_failure()
         self.watch.start_poll(picker)
 
-    def report_attempt(self, made: AttemptShown) -> None:
+    def report_attempt(self, made: AttemptReport) -> None:
         """Tell the picker what an attempt showed."""
         self.reports.shown.append(made)
         self.schedule_report()
@@ -125,5 +127,7 @@
         picker = self.watch.picker()
         if picker is None:
             return
-        made = self.reports.make(self.watch.contacts.of(str(picker)).source)
+        made = self.reports.make(
+            self.watch.contacts.for_control(str(picker)).source
+        )
         self.links.tell(picker, MessageKind.load_report, encode(made))
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -16,7 +16,7 @@
 
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.manifest import Route, Service
-from godwitshunt.organisations import LimitPool, Standing
+from godwitshunt.organisations import AdmissionShare, LimitPool
 from godwitshunt.picking.choices import (
     Choice,
     ChoiceRequest,
@@ -40,7 +40,7 @@
 # what cold upstreams may get, and the others share the rest: for a moment some
 # entry VMs may ask one and some another.
 FIRST_SHARE = 0.7
-ALONE = Standing()
+ALONE = AdmissionShare()
 
 
 @dataclass(frozen=True)
@@ -119,14 +119,14 @@
         In force.
     routes : RouteTable
         Of that revision.
-    standing : Standing
+    standing : AdmissionShare
         Which part of organisations' limits may be admitted here.
     """
 
     view: RegistryView
     revision: Revision
     routes: RouteTable
-    standing: Standing = ALONE
+    standing: AdmissionShare = ALONE
 
 
 @dataclass
@@ -217,7 +217,7 @@
     def limit_wait_s(
         self,
         question: DestinationRequest,
-        standing: Standing,
+        standing: AdmissionShare,
         now_s: float,
     ) -> float:
         """Return the seconds until a request is within its limit.
@@ -232,7 +232,7 @@
     def spend_limit(self, question: DestinationRequest, now_s: float) -> None:
         """Count a request that is given a place, here or elsewhere."""
         if question.organisation and not question.local:
-            self.limits.take(question.organisation, question.cost, now_s)
+            self.limits.charge(question.organisation, question.cost, now_s)
 
     def ask(
         self,
@@ -248,7 +248,9 @@
             urgent=not route.rank,
             objective_s=route.objective_s,
         )
-        quiet = known.routes.quiet.get((service.name, route.rank), frozenset())
+        quiet = known.routes.low_urgency.get(
+            (service.name, route.rank), frozenset()
+        )
         return ChoiceRequest(
             route=route,
             service=service,
@@ -268,7 +270,7 @@
         """Tell whether a cold upstream may get one more request."""
         cold = ask.service.cold_start
         return cold is None or self.cold.has_room(
-            upstream.told.incarnation,
+            upstream.announcement.incarnation,
             cold.requests_per_s,
             self.cold_share,
             ask.now_s,
@@ -279,7 +281,7 @@
         cold = ask.service.cold_start
         if choice.is_cold and cold is not None:
             self.cold.spend(
-                choice.upstream.told.incarnation,
+                choice.upstream.announcement.incarnation,
                 cold.requests_per_s,
                 self.cold_share,
                 ask.now_s,
@@ -295,7 +297,7 @@
         """Count what was given."""
         match choice:
             case SendHere(upstream=upstream, unread_tokens=tokens):
-                instance = upstream.told.incarnation
+                instance = upstream.announcement.incarnation
                 self.note_prompt(question.demand, instance, now_s)
                 number = self.ledger.reserve(
                     question.entry,
@@ -322,12 +324,12 @@
         """
         if demand.shared_tokens >= MIN_SHARED_TOKENS:
             read = CachedPrefix(demand.shared_key, instance, now_s)
-            self.prefixes.note(read)
+            self.prefixes.record(read)
 
 
 def route_for(question: DestinationRequest, routes: RouteTable) -> Route | None:
     """Return the route of a question, as it holds for its organisation."""
-    route = routes.of(question.host, question.path_prefix)
+    route = routes.find(question.host, question.path_prefix)
     if route is None or not question.organisation:
         return route
     organisation = routes.keys.by_name.get(question.organisation)
--- a/godwitshunt/picking/wire.py
+++ b/godwitshunt/picking/wire.py
@@ -13,7 +13,7 @@
 from godwitshunt.picking.picker import DestinationRequest, Given, Unable
 from godwitshunt.registry import UpstreamSeen
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.views import heard
+from godwitshunt.registry.views import reported_upstream
 from godwitshunt.registry.wire import (
     MILLISECONDS,
     announcement_to_wire,
@@ -154,7 +154,9 @@
     match GivenKind(made.kind):
         case GivenKind.upstream:
             told = upstream_from_wire(made.upstream)
-            one = heard(told, now_s, silent=bool(made.upstream.silent))
+            one = reported_upstream(
+                told, now_s, silent=bool(made.upstream.silent)
+            )
             return SendHere(
                 UpstreamSeen(
                     told,
@@ -189,7 +191,7 @@
         None if upstream.ends_at_s is None else upstream.ends_at_s - now_s
     )
     return announcement_to_wire(
-        upstream.told,
+        upstream.announcement,
         cold_s=upstream.cold_until_s - now_s,
         ends_in_s=ends_in_s,
         silent=upstream.silent,
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -22,7 +22,6 @@
 from godwitshunt.registry.ledger import LoadLedger, Report, SummedLoads
 from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.registry.records import EntryRecord, UpstreamAnnounced
-from godwitshunt.registry.relay import ControlLocation, Scope, own_news
 from godwitshunt.registry.suspect_wire import (
     suspects_from_wire,
     suspects_to_wire,
@@ -33,6 +32,7 @@
     UpstreamEntry,
     UpstreamTable,
 )
+from godwitshunt.registry.table_updates import ControlLocation, Scope, own_news
 from godwitshunt.registry.views import RegistryView
 from godwitshunt.registry.wire import (
     admitted_to_wire,
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    place : ControlLocation
+    location : ControlLocation
         Where this control VM stands, and which others there are.
     links : PeerLinks
         Carry the polls.
@@ -78,13 +78,13 @@
 
     def __init__(
         self,
-        place: ControlLocation,
+        location: ControlLocation,
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
         kept: KeptUpstreams | None = None,
     ) -> None:
-        self.place = place
+        self.location = location
         self.shown = (-1, -1)
         self.background = Background()
         self.links = links
@@ -107,12 +107,12 @@
         # forth would age by less than its way each time, and live for ever.
         self.heard_prefixes = PrefixTable()
         self.prefixes = PrefixTable()
-        self.gives_places = False
+        self.picker_active = False
         # What the picker beside this registry has admitted, by organisation.
         self.admitted: Mapping[str, float] = {}
         self.report_notices: list[ReportNotice] = []
         self.tables = ControlTables(
-            place,
+            location,
             self.prefixes,
             self.quarantine,
             links,
@@ -123,7 +123,7 @@
     @classmethod
     def from_config(
         cls,
-        place: ControlLocation,
+        location: ControlLocation,
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
@@ -133,7 +133,7 @@
         kept = None
         if settings.keeps_upstreams:
             kept = KeptUpstreams(settings.data_folder)
-        made = cls(place, links, timer, metrics, kept)
+        made = cls(location, links, timer, metrics, kept)
         made.quarantine.length_s = settings.bounds.quarantine_s
         return made
 
@@ -157,13 +157,13 @@
         await self.tables.close()
         await self.background.close()
 
-    async def settle(self) -> bool:
+    async def flush(self) -> bool:
         """Wait until what is known now is on disk; False where it failed.
 
         That an upstream leaves is acknowledged only then: after a loss of
         power it would else get work from those who remember it as ready.
         """
-        return await self.keeper.settle()
+        return await self.keeper.flush()
 
     def announce(self, announcement: UpstreamAnnounced) -> AnnounceOutcome:
         """Take an upstream's announcement."""
@@ -235,7 +235,7 @@
         loads = SummedLoads((self.ledger.totals, self.tables.loads(now_s)))
         return replace(self.tables.view(), loads=loads)
 
-    def leave(self, incarnation: str) -> None:
+    def mark_replaced(self, incarnation: str) -> None:
         """Note that an incarnation is no longer at its address."""
         self.tables.mark_replaced(incarnation)
 
@@ -251,12 +251,12 @@
         for name in self.entries.tick(now_s):
             self.ledger.forget(name)
             log_change('registry:entry_absent', entry=name)
-        for place in self.ledger.tick(now_s):
+        for location in self.ledger.tick(now_s):
             self.metrics.count('registry_places_expired_total')
             log_change(
                 'registry:place_expired',
-                number=place.number,
-                instance=place.instance,
+                number=location.number,
+                instance=location.instance,
             )
         self.metrics.gauge('registry_upstreams', len(self.upstreams.entries))
         self.metrics.gauge('registry_entries', len(self.entries.entries))
@@ -310,8 +310,8 @@
     ) -> None:
         """Take what an entry VM's requests have shown of kept prompts."""
         for read in prefixes_from_wire(announcement, now_s):
-            self.heard_prefixes.note(read)
-            self.prefixes.note(read)
+            self.heard_prefixes.record(read)
+            self.prefixes.record(read)
 
     def reply(self, poll: ttypes.Poll) -> ttypes.PollReply:
         """Return what is newer than what whoever asks holds."""
@@ -324,7 +324,7 @@
         return ttypes.PollReply(
             source=self.source,
             tables=self.news_for(poll, held, now_s),
-            region=self.place.region,
+            region=self.location.region,
             loads=self.loads_for(poll, now_s),
             misses_tables=self.tables.misses_any(now_s),
             prefixes=prefixes_to_wire(
@@ -332,7 +332,7 @@
                 now_s,
             ),
             prefixes_version=prefixes.version,
-            gives_places=self.gives_places,
+            gives_places=self.picker_active,
             suspects=suspects_to_wire(suspects.records, now_s),
             suspects_version=suspects.version,
         )
@@ -357,7 +357,7 @@
         """Return what is new in this control VM's own table."""
         return own_news(
             self.source,
-            self.place,
+            self.location,
             self.upstreams,
             self.entries,
             held,
--- a/godwitshunt/registry/views.py
+++ b/godwitshunt/registry/views.py
@@ -130,7 +130,7 @@
             self.end(start, now_s)
         for info in news.upstreams or ():
             announcement = upstream_from_wire(info)
-            self.upstreams[announcement.instance] = heard(
+            self.upstreams[announcement.instance] = reported_upstream(
                 announcement,
                 now_s,
                 silent=bool(info.silent),
@@ -221,7 +221,7 @@
                 yield entry.record
 
 
-def heard(
+def reported_upstream(
     announcement: UpstreamAnnounced,
     now_s: float,
     *,
@@ -282,4 +282,6 @@
     upstreams: Mapping[str, UpstreamSeen] = field(default_factory=dict)
     entries: Mapping[str, EntryRecord] = field(default_factory=dict)
     loads: Mapping[str, Load] = field(default_factory=dict)
-    doors: Mapping[str, tuple[EntryRecord, ...]] = field(default_factory=dict)
+    entry_points: Mapping[str, tuple[EntryRecord, ...]] = field(
+        default_factory=dict
+    )
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -18,7 +18,7 @@
 )
 from godwitshunt.registry.contacts import Contacts, KnownControl
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.joined import JoinedTables, TakenNews
+from godwitshunt.registry.merged_tables import MergedTables, TakenNews
 from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.registry.records import (
     EntryRecord,
@@ -129,7 +129,7 @@
         self.links = links
         self.timer = timer
         self.metrics = metrics
-        self.joined = JoinedTables(regions)
+        self.merged = MergedTables(regions)
         self.contacts = Contacts()
         self.own_prefixes = PrefixTable()
         self.prefixes = PrefixTable()
@@ -175,7 +175,7 @@
     def age_s(self) -> float:
         """Return the age of the newest table of a control VM, in seconds."""
         answered_s = max(
-            (table.answered_s for table in self.joined.tables.values()),
+            (table.answered_s for table in self.merged.tables.values()),
             default=float('-inf'),
         )
         return self.timer.now() - answered_s
@@ -183,33 +183,33 @@
     def record_cached_prefix(self, key: int, instance: str) -> None:
         """Note that an upstream has read a prefix of this VM's request."""
         read = CachedPrefix(key, instance, self.timer.now())
-        self.own_prefixes.note(read)
-        self.prefixes.note(read)
+        self.own_prefixes.record(read)
+        self.prefixes.record(read)
 
     def refresh(self, now_s: float) -> None:
         """Join the tables anew."""
         is_late = now_s - self.loads_asof_s > LOADS_KEPT_S
         loads = {} if is_late else self.loads
-        self.cached = replace(self.joined.view(now_s), loads=loads)
+        self.cached = replace(self.merged.view(now_s), loads=loads)
         self.cached_s = now_s
 
-    def leave(self, incarnation: str) -> None:
+    def mark_replaced(self, incarnation: str) -> None:
         """Note that an incarnation is no longer at its address."""
         now_s = self.timer.now()
-        self.joined.leave(incarnation, now_s)
+        self.merged.mark_replaced(incarnation, now_s)
         self.refresh(now_s)
         log_change('registry:instance_replaced', instance=incarnation)
 
     def has_ended(self, told: UpstreamAnnounced) -> bool:
         """Tell whether this VM knows that a start of an upstream is over."""
-        return self.joined.has_ended(told, self.timer.now())
+        return self.merged.has_ended(told, self.timer.now())
 
     def known_control(self) -> list[KnownControl]:
         """Return the control VMs that may be asked."""
         known = []
         for address in self.control():
-            table = self.joined.tables.get(str(address))
-            contact = self.contacts.of(str(address))
+            table = self.merged.tables.get(str(address))
+            contact = self.contacts.for_control(str(address))
             is_here = contact.region == self.region
             asof_s = float('-inf') if table is None else table.answered_s
             known.append(KnownControl(str(address), is_here, asof_s))
@@ -283,7 +283,7 @@
         """Ask one control VM for what is new."""
         control = str(address)
         sent_s = self.timer.now()
-        contact = self.contacts.of(control)
+        contact = self.contacts.for_control(control)
         contact.asked_s = sent_s
         told = self.own_version(control)
         reply = await self.links.call(
@@ -302,7 +302,7 @@
 
     def retry_initial_poll(self, address: Address) -> None:
         """Ask a control VM that never answered again, soon."""
-        never = not self.contacts.of(str(address)).source
+        never = not self.contacts.for_control(str(address)).source
         if never and self.is_young and self.subscription is not None:
             self.timer.after(FIRST_RETRY_S, partial(self.start_poll, address))
 
@@ -313,9 +313,9 @@
     def make_poll(self, control: str, now_s: float) -> ttypes.Poll:
         """Return what one control VM is told and asked."""
         known = self.known_control()
-        contact = self.contacts.of(control)
+        contact = self.contacts.for_control(control)
         if control != self.contacts.first(known, now_s):
-            return question_to_another(contact, self.joined)
+            return question_to_another(contact, self.merged)
         own = self.own()
         told = ToldFirst(
             own.record,
@@ -324,7 +324,7 @@
             self.quarantine.own.delta(contact.suspects_told).records,
             chooses=self.contacts.picker(known, now_s) is None,
         )
-        return question_to_first(contact, self.joined, told, now_s)
+        return question_to_first(contact, self.merged, told, now_s)
 
     def take(
         self,
@@ -347,10 +347,10 @@
         was_first = self.first()
         for news in message.tables or ():
             self.take_table(control, news, sent_s, now_s)
-        contact = self.contacts.of(control)
+        contact = self.contacts.for_control(control)
         is_known = message.source == contact.source
         contact.answer(message.source, sent_s, now_s)
-        contact.gives_places = bool(message.gives_places)
+        contact.picker_active = bool(message.gives_places)
         contact.region = message.region or ''
         contact.misses = missed_tables(message, sent_s)
         self.prefixes.take(prefixes_from_wire(message.prefixes, now_s))
@@ -372,7 +372,7 @@
 
         Only the first control VM is told of lost requests.
         """
-        told = self.contacts.of(control).suspects_told
+        told = self.contacts.for_control(control).suspects_told
         if control == self.first():
             told = self.quarantine.own.delta(told).version
         return OwnVersion(self.own_prefixes.version, told)
@@ -396,7 +396,7 @@
         now_s: float,
     ) -> None:
         """Take what is told of one control VM's table."""
-        taken = self.joined.take(news, sent_s, now_s)
+        taken = self.merged.take(news, sent_s, now_s)
         if taken is None:
             return
         if taken.gone or news.upstreams or news.gone_entries:
@@ -431,7 +431,7 @@
     def note_lost(self, control: str, reason: str) -> None:
         """Count a call without answer; log the first of several."""
         self.metrics.count('registry_polls_failed_total')
-        self.contacts.of(control).fail()
+        self.contacts.for_control(control).record_failure()
         if control not in self.lost:
             self.lost.add(control)
             log_change('registry:control_lost', control=control, reason=reason)
