--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -70,7 +70,7 @@
             self.current,
             context.authorizer,
             Random(),
-            lambda: context.watch.is_young,
+            lambda: context.watch.is_warming_up,
         )
         self.configured = asyncio.Event()
         self.draining = False
@@ -153,7 +153,7 @@
         self.context.neighbours.record_entries(view.entries, now_s)
         self.context.neighbours.round_trips = self.context.watch.round_trips()
         self.context.upstreams.remove_absent(view.upstreams)
-        self.context.pool.forget(view.upstreams)
+        self.context.pool.remove_absent(view.upstreams)
         self.context.budgets.cold.remove_absent(frozenset(view.upstreams))
         self.context.metrics.gauge('ingress_in_progress', self.in_progress)
 
@@ -227,7 +227,7 @@
 
     async def wait_for_revision(self) -> None:
         """Wait a moment for the first revision, while the VM is young."""
-        if self.active_revision is None and self.context.watch.is_young:
+        if self.active_revision is None and self.context.watch.is_warming_up:
             with suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_WAIT_S):
                     await self.configured.wait()
