--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -10,7 +10,7 @@
 
 from result import Err
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.quarantine import QUARANTINE_S, Quarantine
 from godwitshunt.registry.contacts import Contacts, KnownControl
@@ -141,7 +141,7 @@
         self.quarantine = Quarantine(QUARANTINE_S, timer.now, metrics)
         self.loads: Mapping[str, Load] = {}
         self.loads_received_s = float('-inf')
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.subscription: Subscription | None = None
         self.started_s = float('-inf')
         self.cached_view = RegistryView()
