--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -10,11 +10,6 @@
 from pydantic import ValidationError
 from result import Err
 
-from godwitshunt.configuration.ask_order import (
-    control_order,
-    known_control,
-    peer_order,
-)
 from godwitshunt.configuration.background import Background
 from godwitshunt.configuration.document import (
     DocumentMalformed,
@@ -32,6 +27,11 @@
 from godwitshunt.configuration.history import Held, RevisionHistory
 from godwitshunt.configuration.kept_revision import KeptRevision
 from godwitshunt.configuration.news_wire import decode_news, vm_to_wire
+from godwitshunt.configuration.poll_order import (
+    control_order,
+    known_control,
+    peer_order,
+)
 from godwitshunt.configuration.revision import (
     Revision,
     RevisionNotice,
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -8,7 +8,7 @@
     ConfigurationTask,
     VmRole,
 )
-from godwitshunt.configuration.ask_order import known_control
+from godwitshunt.configuration.poll_order import known_control
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.configuration.task import UnlistedStart
 from godwitshunt.ingress import HeaderNames, IngressTask
