--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -22,7 +22,6 @@
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.heard import HeardVm, HeardVms
 from godwitshunt.configuration.history import Held, RevisionHistory
-from godwitshunt.configuration.kept_revision import KeptRevision
 from godwitshunt.configuration.news_wire import (
     require_fields,
     vm_from_wire,
@@ -36,6 +35,7 @@
     VmRecord,
     VmRole,
 )
+from godwitshunt.configuration.revision_file import KeptRevision
 from godwitshunt.configuration.state import ControlState
 from godwitshunt.configuration.state_machine import StateMachine
 from godwitshunt.configuration.upkeep import (
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -25,7 +25,6 @@
 )
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.history import Held, RevisionHistory
-from godwitshunt.configuration.kept_revision import KeptRevision
 from godwitshunt.configuration.news_wire import decode_news, vm_to_wire
 from godwitshunt.configuration.poll_order import (
     control_order,
@@ -37,6 +36,7 @@
     RevisionNotice,
     VmRecord,
 )
+from godwitshunt.configuration.revision_file import KeptRevision
 from godwitshunt.exceptions import FrameError, StorageError
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address, NodeSettings
--- a/godwitshunt/configuration/tests/test_distribution.py
+++ b/godwitshunt/configuration/tests/test_distribution.py
@@ -9,7 +9,7 @@
 )
 from godwitshunt.configuration.document import digest_of, document_of
 from godwitshunt.configuration.history import Held, RevisionHistory
-from godwitshunt.configuration.kept_revision import KeptRevision
+from godwitshunt.configuration.revision_file import KeptRevision
 from godwitshunt.configuration.task import UnlistedStart
 from godwitshunt.configuration.tests.fakes import (
     Deployment,
--- a/godwitshunt/configuration/tests/test_kept_revision.py
+++ b/godwitshunt/configuration/tests/test_kept_revision.py
@@ -4,7 +4,7 @@
 
 from godwitshunt.configuration.document import digest_of, document_of
 from godwitshunt.configuration.history import Held
-from godwitshunt.configuration.kept_revision import FILE_NAME, KeptRevision
+from godwitshunt.configuration.revision_file import FILE_NAME, KeptRevision
 from godwitshunt.configuration.tests.fakes import Deployment, manifest
 from godwitshunt.exceptions import StorageError
 
--- a/godwitshunt/configuration/tests/test_schedules.py
+++ b/godwitshunt/configuration/tests/test_schedules.py
@@ -11,8 +11,8 @@
 
 from godwitshunt.configuration.commands import Accepted
 from godwitshunt.configuration.document import document_of
-from godwitshunt.configuration.kept_revision import KeptRevision
 from godwitshunt.configuration.replicated_log import SingleLog
+from godwitshunt.configuration.revision_file import KeptRevision
 from godwitshunt.configuration.tests.fakes import (
     Deployment,
     caller,
