--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -29,7 +29,6 @@
     unpack_document,
     vm_entry,
 )
-from godwitshunt.configuration.following import Following, take_news
 from godwitshunt.configuration.history import (
     KEPT_DOCUMENTS,
     Held,
@@ -38,6 +37,7 @@
 from godwitshunt.configuration.replicated_log import SingleLog
 from godwitshunt.configuration.revision import VmRecord, VmRole
 from godwitshunt.configuration.service import ConfigurationService
+from godwitshunt.configuration.sync_state import Following, take_news
 from godwitshunt.configuration.task import ConfigurationTask
 from godwitshunt.manifest import Manifest
 from godwitshunt.peer import MessageKind, PeerLinks, PeerOptions, encode
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -16,13 +16,6 @@
     revision_of,
 )
 from godwitshunt.configuration.first_replies import FirstReplies, Told
-from godwitshunt.configuration.following import (
-    Following,
-    NewsOutcome,
-    NewsRefused,
-    RevisionApplied,
-    take_news,
-)
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.history import Held, RevisionHistory
 from godwitshunt.configuration.news_wire import decode_news, vm_to_wire
@@ -37,6 +30,13 @@
     VmRecord,
 )
 from godwitshunt.configuration.revision_file import KeptRevision
+from godwitshunt.configuration.sync_state import (
+    Following,
+    NewsOutcome,
+    NewsRefused,
+    RevisionApplied,
+    take_news,
+)
 from godwitshunt.exceptions import FrameError, StorageError
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address, NodeSettings
--- a/godwitshunt/configuration/tests/test_following.py
+++ b/godwitshunt/configuration/tests/test_following.py
@@ -12,8 +12,8 @@
     pack,
     unpack,
 )
-from godwitshunt.configuration.following import Following, take_news
 from godwitshunt.configuration.history import Held, RevisionHistory
+from godwitshunt.configuration.sync_state import Following, take_news
 
 entries = st.lists(
     st.builds(
