--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -30,14 +30,14 @@
     vm_entry,
 )
 from godwitshunt.configuration.history import (
-    KEPT_DOCUMENTS,
+    MAX_DOCUMENTS,
     Held,
     RevisionHistory,
 )
 from godwitshunt.configuration.replicated_log import SingleLog
 from godwitshunt.configuration.revision import VmRecord, VmRole
 from godwitshunt.configuration.service import ConfigurationService
-from godwitshunt.configuration.sync_state import Following, take_news
+from godwitshunt.configuration.sync_state import SyncState, take_news
 from godwitshunt.configuration.task import ConfigurationTask
 from godwitshunt.manifest import Manifest
 from godwitshunt.peer import MessageKind, PeerLinks, PeerOptions, encode
@@ -161,7 +161,7 @@
     )
     history = RevisionHistory()
     history.add(Held(1, digest_of(base), base))
-    following = Following(history.newest)
+    following = SyncState(history.newest)
     history.add(Held(2, digest_of(target), target))
     delta = history.news_for(following.base_revision, 0)
     whole = history.news_for(0, 0)
@@ -172,7 +172,7 @@
         encode_ms=least_ms(lambda: pack(diff(base, target))),
         take_ms=least_ms(lambda: take_news(following, delta, 0)),
         validate_ms=least_ms(lambda: revision_of(2, target)),
-        take_whole_ms=least_ms(lambda: take_news(Following(), whole, 0)),
+        take_whole_ms=least_ms(lambda: take_news(SyncState(), whole, 0)),
     )
 
 
@@ -298,15 +298,15 @@
     history = RevisionHistory()
     before = tracemalloc.get_traced_memory()[0]
     document = unpack_document(pack_document(document)).ok_value
-    for number in range(1, KEPT_DOCUMENTS + 1):
+    for number in range(1, MAX_DOCUMENTS + 1):
         later = with_vms(document_of(make_manifest(1100, number, number)), VMS)
         document = patch(document, diff(document, later)).ok_value
         history.add(Held(number, digest_of(document), document))
-    revision = revision_of(KEPT_DOCUMENTS, document)
+    revision = revision_of(MAX_DOCUMENTS, document)
     later = document
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return (after - before) / revision.revision * KEPT_DOCUMENTS / 1e6
+    return (after - before) / revision.revision * MAX_DOCUMENTS / 1e6
 
 
 def totals(cost: Cost, beat: Beat) -> list[str]:
--- a/godwitshunt/configuration/freshness_task.py
+++ b/godwitshunt/configuration/freshness_task.py
@@ -2,7 +2,7 @@
 
 from result import Err
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.configuration.document import vm_of
 from godwitshunt.configuration.freshness import Freshness
 from godwitshunt.configuration.gen.wire import ttypes
@@ -40,7 +40,7 @@
         self.links = links
         self.timer = timer
         self.freshness = Freshness()
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.subscription: Subscription | None = None
 
     def start(self) -> None:
--- a/godwitshunt/configuration/history.py
+++ b/godwitshunt/configuration/history.py
@@ -11,7 +11,7 @@
 )
 from godwitshunt.configuration.gen.wire.ttypes import ConfigurationNews
 
-KEPT_DOCUMENTS = 64
+MAX_DOCUMENTS = 64
 UNKNOWN_AGE_S = -1.0
 
 
@@ -29,7 +29,7 @@
     """The newest document and the ones that a delta can build on.
 
     Documents share the entries that they have in common, so keeping the last
-    `KEPT_DOCUMENTS` costs little more than keeping one.
+    `MAX_DOCUMENTS` costs little more than keeping one.
     """
 
     held: OrderedDict[int, Held] = field(default_factory=OrderedDict)
@@ -41,7 +41,7 @@
         self.newest = newest
         self.bodies.clear()
         self.held[newest.revision] = newest
-        while len(self.held) > KEPT_DOCUMENTS:
+        while len(self.held) > MAX_DOCUMENTS:
             self.held.popitem(last=False)
 
     def news_for(
--- a/godwitshunt/configuration/revision_file.py
+++ b/godwitshunt/configuration/revision_file.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class KeptRevision:
+class RevisionFile:
     """One file that always holds one whole revision."""
 
     folder: Path
--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.configuration.commands import (
     BaseChanged,
     Command,
@@ -35,7 +35,7 @@
     VmRecord,
     VmRole,
 )
-from godwitshunt.configuration.revision_file import KeptRevision
+from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.state import ControlState
 from godwitshunt.configuration.state_machine import StateMachine
 from godwitshunt.configuration.upkeep import (
@@ -74,7 +74,7 @@
         Gives the periods.
     metrics : Metrics
         Counts heartbeats, news and changes.
-    kept : KeptRevision or None
+    kept : RevisionFile or None
         The newest committed revision on disk; None keeps none.
     """
 
@@ -86,7 +86,7 @@
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
-        kept: KeptRevision | None = None,
+        kept: RevisionFile | None = None,
     ) -> None:
         self.kept = kept
         self.record = record
@@ -99,7 +99,7 @@
         self.history = RevisionHistory()
         self.heard = HeardVms()
         self.pending_seen_at: dict[int, float] = {}
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.subscriptions = []
         self.push_due = False
         self.refresh_due = False
@@ -126,10 +126,10 @@
         )
         kept = None
         if settings.keeps_revision:
-            kept = KeptRevision(settings.data_folder)
+            kept = RevisionFile(settings.data_folder)
         return cls(record, others, log, links, timer, metrics, kept)
 
-    def follow_control(self, control: tuple[Address, ...]) -> None:
+    def set_control_addresses(self, control: tuple[Address, ...]) -> None:
         """Know other control replicas from now on, as settings name them."""
         self.named_others = control
 
--- a/godwitshunt/configuration/sync_state.py
+++ b/godwitshunt/configuration/sync_state.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Following:
+class SyncState:
     """What a VM holds.
 
     Parameters
@@ -79,17 +79,17 @@
 
 
 def take_news(
-    following: Following,
+    following: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
     *,
     from_peer: bool = False,
-) -> tuple[Following, NewsOutcome]:
+) -> tuple[SyncState, NewsOutcome]:
     """Apply a reply or a push.
 
     Parameters
     ----------
-    following : Following
+    following : SyncState
         What the VM holds.
     news : ConfigurationNews
         From a control replica or a peer.
@@ -121,7 +121,7 @@
 
 
 def may_begin(
-    following: Following,
+    following: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
     from_peer: bool,
@@ -146,10 +146,10 @@
 
 
 def proven(
-    following: Following,
+    following: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
-) -> Following:
+) -> SyncState:
     """Note the proof of a quorum that came with the news."""
     if asked_at is None or news.quorum_age_s < 0:
         return following
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -10,7 +10,7 @@
 from pydantic import ValidationError
 from result import Err
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.configuration.document import (
     DocumentMalformed,
     revision_of,
@@ -29,12 +29,12 @@
     RevisionNotice,
     VmRecord,
 )
-from godwitshunt.configuration.revision_file import KeptRevision
+from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.sync_state import (
-    Following,
     NewsOutcome,
     NewsRefused,
     RevisionApplied,
+    SyncState,
     take_news,
 )
 from godwitshunt.exceptions import FrameError, StorageError
@@ -90,7 +90,7 @@
         Gives the periods.
     metrics : Metrics
         Counts heartbeats and applied revisions.
-    kept : KeptRevision or None
+    kept : RevisionFile or None
         The newest revision on disk; None where the VM has no disk.
     unlisted : UnlistedStart or None
         How a VM starts that no acceptance ever waits for; None for one that
@@ -111,7 +111,7 @@
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
-        kept: KeptRevision | None,
+        kept: RevisionFile | None,
         unlisted: UnlistedStart | None = None,
     ) -> None:
         self.unlisted = unlisted
@@ -122,17 +122,17 @@
         self.timer = timer
         self.metrics = metrics
         self.kept = kept
-        self.following = Following()
+        self.following = SyncState()
         self.current: Revision | None = None
         self.history = RevisionHistory()
         self.subscribers: list[RevisionNotice] = []
         self.first = FirstReplies()
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.closed = False
         self.lock = asyncio.Lock()
         self.preferred: Address | None = None
         self.peer_turn = 0
-        self.introduces = True
+        self.sends_record = True
         self.asked_s = float('-inf')
         # Spreads heartbeats over time; nothing is decided by it.
         self.jitter = random.Random(record.name)
@@ -150,7 +150,7 @@
         """Make the task of a VM."""
         kept = None
         if settings.data_folder is not None:
-            kept = KeptRevision(Path(settings.data_folder))
+            kept = RevisionFile(Path(settings.data_folder))
         return cls(
             record,
             settings.control,
@@ -191,7 +191,7 @@
         """Tell of each revision that comes into force from now on."""
         self.subscribers.append(notice)
 
-    def follow_control(self, control: tuple[Address, ...]) -> None:
+    def set_control_addresses(self, control: tuple[Address, ...]) -> None:
         """Ask other control replicas from now on, as settings name them."""
         self.control = control
 
@@ -207,7 +207,7 @@
         """True where the revision in force lists this VM."""
         return self.current is not None and self.record in self.current.vms
 
-    def take_kept(self, kept: KeptRevision) -> None:
+    def take_kept(self, kept: RevisionFile) -> None:
         """Put the revision on disk in force, without proof of a quorum."""
         held = kept.read()
         if held is None:
@@ -231,7 +231,7 @@
             period_s = FIRST_PERIOD_S
         self.timer.after(period_s, self.begin_heartbeat)
 
-    async def ask_now(self) -> None:
+    async def poll_now(self) -> None:
         """Ask for newer news, and wait for it.
 
         Where that is under way already, that answer is waited for. Callers
@@ -320,7 +320,7 @@
         except FrameError:
             self.metrics.count('configuration_news_malformed_total')
             return None
-        self.introduces = bool(news.introduce)
+        self.sends_record = bool(news.introduce)
         return Told(news, asked_at)
 
     def heartbeat(self) -> ttypes.VmHeartbeat:
@@ -329,7 +329,7 @@
             name=self.record.name,
             session=self.record.session,
             revision=self.following.base_revision,
-            vm=vm_to_wire(self.record) if self.introduces else None,
+            vm=vm_to_wire(self.record) if self.sends_record else None,
         )
 
     async def on_news(self, sender: str, body: bytes) -> None:
@@ -377,7 +377,7 @@
 
     async def put_in_force(
         self,
-        following: Following,
+        following: SyncState,
         outcome: RevisionApplied,
     ) -> NewsOutcome:
         """Check, keep and publish a newer revision."""
@@ -406,7 +406,7 @@
             return True
         return any(vm.name == self.record.name for vm in revision.vms)
 
-    async def keep(self, kept: KeptRevision, held: Held) -> None:
+    async def keep(self, kept: RevisionFile, held: Held) -> None:
         """Write a revision to the disk; a failure is counted and logged.
 
         Serving by an older revision until the disk is repaired would be
--- a/godwitshunt/configuration/tests/test_distribution.py
+++ b/godwitshunt/configuration/tests/test_distribution.py
@@ -9,7 +9,7 @@
 )
 from godwitshunt.configuration.document import digest_of, document_of
 from godwitshunt.configuration.history import Held, RevisionHistory
-from godwitshunt.configuration.revision_file import KeptRevision
+from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.task import UnlistedStart
 from godwitshunt.configuration.tests.fakes import (
     Deployment,
@@ -77,7 +77,7 @@
     It must come back with the newest revision that was in force there, and
     must know that it is isolated.
     """
-    kept = KeptRevision(tmp_path)
+    kept = RevisionFile(tmp_path)
     record = deployment.add_vm('e4', 'split', 207, kept=kept)
     for number in (1, 2, 3):
         await deployment.accept(manifest(number))
@@ -190,7 +190,7 @@
     for subscription in service.subscriptions:
         if subscription.callback == service.begin_upkeep:
             subscription.cancel()
-    kept = KeptRevision(tmp_path)
+    kept = RevisionFile(tmp_path)
     record = deployment.add_vm('e5', 'split', 209, kept=kept)
     await deployment.run(3)
     assert deployment.tasks['e5'].following.held is not None
--- a/godwitshunt/configuration/tests/test_following.py
+++ b/godwitshunt/configuration/tests/test_following.py
@@ -13,7 +13,7 @@
     unpack,
 )
 from godwitshunt.configuration.history import Held, RevisionHistory
-from godwitshunt.configuration.sync_state import Following, take_news
+from godwitshunt.configuration.sync_state import SyncState, take_news
 
 entries = st.lists(
     st.builds(
@@ -54,7 +54,7 @@
     history = RevisionHistory()
     committed = {}
     sent = []
-    following = Following()
+    following = SyncState()
     for revision, document in enumerate(versions, start=1):
         held = Held(revision, digest_of(document), document)
         committed[revision] = held.digest
@@ -86,7 +86,7 @@
         document = Document({'number': number}, {})
         history.add(Held(number, digest_of(document), document))
     delta = history.news_for(next(iter(history.held)), 0)
-    following, _ = take_news(Following(), delta, 5)
+    following, _ = take_news(SyncState(), delta, 5)
     assert following.held is None
     assert following.proof_at < 0
     assert following.needs_whole
@@ -114,7 +114,7 @@
     history.add(Held(1, digest_of(document), document))
     news = history.news_for(0, age_s)
     following, _ = take_news(
-        Following(started_at=10),
+        SyncState(started_at=10),
         news,
         asked_at,
         from_peer=from_peer,
--- a/godwitshunt/configuration/tests/test_kept_revision.py
+++ b/godwitshunt/configuration/tests/test_kept_revision.py
@@ -4,7 +4,7 @@
 
 from godwitshunt.configuration.document import digest_of, document_of
 from godwitshunt.configuration.history import Held
-from godwitshunt.configuration.revision_file import FILE_NAME, KeptRevision
+from godwitshunt.configuration.revision_file import FILE_NAME, RevisionFile
 from godwitshunt.configuration.tests.fakes import Deployment, manifest
 from godwitshunt.exceptions import StorageError
 
@@ -31,7 +31,7 @@
 
     Half a configuration must never come into force; the VM starts without.
     """
-    kept = KeptRevision(tmp_path)
+    kept = RevisionFile(tmp_path)
     kept.write(held(1))
     path = tmp_path / FILE_NAME
     path.write_bytes(damage(path.read_bytes()))
@@ -42,7 +42,7 @@
 
 def test_crash_before_the_rename_leaves_the_older_one(tmp_path):
     """The VM crashes while it writes a newer revision beside the older."""
-    kept = KeptRevision(tmp_path)
+    kept = RevisionFile(tmp_path)
     kept.write(held(1))
     (tmp_path / FILE_NAME).with_suffix('.new').write_bytes(b'half')
     assert kept.read().digest == held(1).digest
@@ -55,7 +55,7 @@
     """
     blocked = tmp_path / 'file'
     blocked.write_bytes(b'')
-    kept = KeptRevision(blocked)
+    kept = RevisionFile(blocked)
     with pytest.raises(StorageError):
         kept.write(held(1))
     deployment = Deployment()
--- a/godwitshunt/configuration/tests/test_schedules.py
+++ b/godwitshunt/configuration/tests/test_schedules.py
@@ -12,7 +12,7 @@
 from godwitshunt.configuration.commands import Accepted
 from godwitshunt.configuration.document import document_of
 from godwitshunt.configuration.replicated_log import SingleLog
-from godwitshunt.configuration.revision_file import KeptRevision
+from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.tests.fakes import (
     Deployment,
     caller,
@@ -88,7 +88,7 @@
         """Start a VM; e2 has a disk, e3 knows e2 as its peer."""
         more = {}
         if name == 'e2':
-            more['kept'] = KeptRevision(self.folder)
+            more['kept'] = RevisionFile(self.folder)
         if name == 'e3':
             more['peers'] = (self.deployment.tasks['e2'].record.peer,)
         self.deployment.add_vm(name, region, port, **more)
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -103,7 +103,7 @@
 
         authorizer = self.ingress.context.authorizer
         authorizer.age_s = self.configuration.quorum_age_s
-        authorizer.renew = self.configuration.ask_now
+        authorizer.renew = self.configuration.poll_now
 
     def control(self) -> tuple[Address, ...]:
         """Return the peer addresses of the control VMs that are known.
