--- a/godwitshunt/configuration/document.py
+++ b/godwitshunt/configuration/document.py
@@ -87,7 +87,7 @@
         """Return the document with one section replaced."""
         return replace(self, sections={**self.sections, name: entries})
 
-    def for_vms(self) -> 'Document':
+    def without_origin(self) -> 'Document':
         """Return the document as VMs need it, without the pipeline's own.
 
         That is as long as all the rest, and holds keys of callers, which
@@ -212,7 +212,9 @@
         revision=revision,
         digest=manifest_digest_of(document),
         manifest=Manifest.model_validate(document.manifest_fields()),
-        vms=tuple(vm_of(entry) for entry in document.section('vms').values()),
+        vms=tuple(
+            vm_from_entry(entry) for entry in document.section('vms').values()
+        ),
         holders=tuple(
             HolderSet(
                 entry['region'],
@@ -226,7 +228,7 @@
     )
 
 
-def vm_of(entry: Entry) -> VmRecord:
+def vm_from_entry(entry: Entry) -> VmRecord:
     """Return a VM's record from its entry."""
     return VmRecord(
         name=entry['name'],
@@ -239,7 +241,7 @@
     )
 
 
-def vm_entry(vm: VmRecord) -> Entry:
+def vm_to_entry(vm: VmRecord) -> Entry:
     """Return a VM's entry for the document."""
     return {
         'name': vm.name,
--- a/godwitshunt/configuration/freshness_task.py
+++ b/godwitshunt/configuration/freshness_task.py
@@ -3,7 +3,7 @@
 from result import Err
 
 from godwitshunt.configuration.background import BackgroundTasks
-from godwitshunt.configuration.document import vm_of
+from godwitshunt.configuration.document import vm_from_entry
 from godwitshunt.configuration.freshness import Freshness
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.history import UNKNOWN_AGE_S
@@ -94,7 +94,7 @@
         if leader is None:
             return None
         reply = await self.links.call(
-            vm_of(leader).peer,
+            vm_from_entry(leader).peer,
             MessageKind.configuration_fetch,
             b'',
             PROOF_TIMEOUT_S,
--- a/godwitshunt/configuration/history.py
+++ b/godwitshunt/configuration/history.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class DocumentRevision:
     """A revision of the document with its digest."""
 
     revision: int
@@ -32,11 +32,13 @@
     `MAX_DOCUMENTS` costs little more than keeping one.
     """
 
-    held: OrderedDict[int, Held] = field(default_factory=OrderedDict)
-    newest: Held | None = None
+    held: OrderedDict[int, DocumentRevision] = field(
+        default_factory=OrderedDict
+    )
+    newest: DocumentRevision | None = None
     bodies: dict[int, bytes] = field(default_factory=dict)
 
-    def add(self, newest: Held) -> None:
+    def add(self, newest: DocumentRevision) -> None:
         """Keep a newer document."""
         self.newest = newest
         self.bodies.clear()
@@ -44,7 +46,7 @@
         while len(self.held) > MAX_DOCUMENTS:
             self.held.popitem(last=False)
 
-    def news_for(
+    def make_update(
         self,
         revision: int,
         quorum_age_s: float,
@@ -75,7 +77,7 @@
             introduce=False,
         )
 
-    def body_for(self, base: Held | None) -> bytes:
+    def body_for(self, base: DocumentRevision | None) -> bytes:
         """Return the delta or the whole document, made once for each base."""
         key = 0 if base is None else base.revision
         if key not in self.bodies:
--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -15,13 +15,13 @@
 from godwitshunt.configuration.document import (
     digest_of,
     revision_of,
-    vm_entry,
-    vm_of,
+    vm_from_entry,
+    vm_to_entry,
 )
 from godwitshunt.configuration.freshness_task import FreshnessTask
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.heard import HeardVm, HeardVms
-from godwitshunt.configuration.history import Held, RevisionHistory
+from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
 from godwitshunt.configuration.news_wire import (
     require_fields,
     vm_from_wire,
@@ -159,7 +159,7 @@
         self.links.subscribe(MessageKind.configuration_applied, self.on_reports)
         self.freshness.start()
         self.subscriptions = [
-            self.timer.every(UPKEEP_PERIOD_S, self.begin_upkeep),
+            self.timer.every(UPKEEP_PERIOD_S, self.begin_maintenance),
             self.timer.every(REPORT_PERIOD_S, self.send_reports),
         ]
 
@@ -232,10 +232,10 @@
         newest = self.history.newest
         if newest is not None and newest.revision >= state.revision:
             return
-        if not state.highest:
+        if not state.highest_number:
             return
-        document = state.document.for_vms()
-        held = Held(state.revision, digest_of(document), document)
+        document = state.document.without_origin()
+        held = DocumentRevision(state.revision, digest_of(document), document)
         self.history.add(held)
         self.publish(held)
         if self.kept is not None:
@@ -244,7 +244,7 @@
         log_change(
             'configuration:revision_committed',
             revision=held.revision,
-            number=state.highest,
+            number=state.highest_number,
             digest=held.digest,
         )
         if not self.push_due:
@@ -282,7 +282,7 @@
         """Tell of each revision that this replica applies from now on."""
         self.subscribers.append(notice)
 
-    def publish(self, held: Held) -> None:
+    def publish(self, held: DocumentRevision) -> None:
         """Tell the parts of this process of a newer revision."""
         if not self.subscribers:
             return
@@ -317,7 +317,7 @@
         for one in self.heard.direct(self.timer.now()):
             if one.vm.name == self.record.name:
                 continue
-            news = self.history.news_for(one.revision, float('inf'))
+            news = self.history.make_update(one.revision, float('inf'))
             self.links.tell(
                 one.vm.peer,
                 MessageKind.configuration_news,
@@ -335,7 +335,7 @@
         self.metrics.count('configuration_heartbeats_total')
         # The proof below covers every entry that is applied; so must the news.
         self.refresh()
-        news = self.history.news_for(revision, self.freshness.quorum_age_s())
+        news = self.history.make_update(revision, self.freshness.quorum_age_s())
         news.introduce = vm is None
         return encode(news)
 
@@ -348,7 +348,7 @@
             return None
         return known.vm
 
-    def begin_upkeep(self) -> None:
+    def begin_maintenance(self) -> None:
         """Commit what is due, where this replica leads."""
         self.heard.hear(
             HeardVm(self.record, self.state.revision, self.timer.now()),
@@ -379,7 +379,7 @@
         committed = self.state.document.section('vms')
         reports = []
         for one in self.heard.direct(now):
-            is_known = committed.get(one.vm.name) == vm_entry(one.vm)
+            is_known = committed.get(one.vm.name) == vm_to_entry(one.vm)
             report = ttypes.VmReport(
                 name=one.vm.name,
                 revision=one.revision,
@@ -408,4 +408,4 @@
         if report.vm is not None:
             return vm_from_wire(report.vm)
         entry = self.state.document.section('vms').get(report.name)
-        return None if entry is None else vm_of(entry)
+        return None if entry is None else vm_from_entry(entry)
--- a/godwitshunt/configuration/sync_state.py
+++ b/godwitshunt/configuration/sync_state.py
@@ -18,7 +18,7 @@
     unpack_document,
 )
 from godwitshunt.configuration.gen.wire.ttypes import ConfigurationNews
-from godwitshunt.configuration.history import Held
+from godwitshunt.configuration.history import DocumentRevision
 
 NEVER = float('-inf')
 
@@ -29,11 +29,11 @@
 
     Parameters
     ----------
-    held : Held or None
+    held : DocumentRevision or None
         The revision in force; None before the first.
     proof_at : float
         Monotonic time of the last proof of a live quorum, in seconds.
-    needs_whole : bool
+    needs_full_document : bool
         True where a delta did not fit and the whole document is wanted.
     started_at : float
         Monotonic time when the process started, in seconds.
@@ -42,16 +42,16 @@
         with one that no quorum vouches for; infinite for never.
     """
 
-    held: Held | None = None
+    held: DocumentRevision | None = None
     proof_at: float = NEVER
-    needs_whole: bool = False
+    needs_full_document: bool = False
     started_at: float = NEVER
     unproven_after_s: float = -NEVER
 
     @property
     def base_revision(self) -> int:
         """The revision to ask a delta over; 0 asks for the whole."""
-        if self.held is None or self.needs_whole:
+        if self.held is None or self.needs_full_document:
             return 0
         return self.held.revision
 
@@ -60,7 +60,7 @@
 class RevisionApplied:
     """A higher revision came into force."""
 
-    held: Held
+    held: DocumentRevision
 
 
 @dataclass(frozen=True)
@@ -78,7 +78,7 @@
 NewsOutcome = RevisionApplied | NothingNewer | NewsRefused
 
 
-def take_news(
+def apply_update(
     following: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
@@ -113,10 +113,14 @@
         return following, NothingNewer()
     match read_news(held, news):
         case Err(fault):
-            return replace(following, needs_whole=True), NewsRefused(fault)
+            return replace(following, needs_full_document=True), NewsRefused(
+                fault
+            )
         case Ok(document):
-            newer = Held(news.revision, news.digest, document)
-            following = replace(following, held=newer, needs_whole=False)
+            newer = DocumentRevision(news.revision, news.digest, document)
+            following = replace(
+                following, held=newer, needs_full_document=False
+            )
             return proven(following, news, asked_at), RevisionApplied(newer)
 
 
@@ -158,7 +162,7 @@
 
 
 def read_news(
-    held: Held | None,
+    held: DocumentRevision | None,
     news: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
     """Return the document that the news leads to, its digest checked."""
@@ -171,7 +175,7 @@
 
 
 def read_body(
-    held: Held | None,
+    held: DocumentRevision | None,
     news: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
     """Read the whole document, or the delta over the held one."""
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -17,7 +17,7 @@
 )
 from godwitshunt.configuration.first_replies import FirstReplies, Told
 from godwitshunt.configuration.gen.wire import ttypes
-from godwitshunt.configuration.history import Held, RevisionHistory
+from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
 from godwitshunt.configuration.news_wire import decode_news, vm_to_wire
 from godwitshunt.configuration.poll_order import (
     control_order,
@@ -35,7 +35,7 @@
     NewsRefused,
     RevisionApplied,
     SyncState,
-    take_news,
+    apply_update,
 )
 from godwitshunt.exceptions import FrameError, StorageError
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
@@ -250,7 +250,7 @@
             known_control(self.current, self.control),
             self.preferred,
         ):
-            if await self.ask_one(address, MessageKind.vm_heartbeat):
+            if await self.poll_one(address, MessageKind.vm_heartbeat):
                 self.preferred = address
                 return
         self.preferred = None
@@ -261,7 +261,7 @@
             self.peers,
             self.peer_turn,
         ):
-            if await self.ask_one(peer, MessageKind.configuration_fetch):
+            if await self.poll_one(peer, MessageKind.configuration_fetch):
                 return
 
     def ask_all(self) -> None:
@@ -288,7 +288,7 @@
         newest = self.first.newest()
         await self.take(newest.news, newest.asked_at)
 
-    async def ask_one(self, address: Address, kind: MessageKind) -> bool:
+    async def poll_one(self, address: Address, kind: MessageKind) -> bool:
         """Send one heartbeat; True where the reply proved a live quorum."""
         told = await self.call(address, kind)
         if told is None:
@@ -342,7 +342,7 @@
     async def on_fetch(self, sender: str, body: bytes) -> bytes:
         """Tell a peer what this VM holds, with the age of its proof."""
         heartbeat = decode(ttypes.VmHeartbeat, body)
-        news = self.history.news_for(
+        news = self.history.make_update(
             heartbeat.revision or 0,
             self.quorum_age_s(),
         )
@@ -362,7 +362,7 @@
         the older one after it had said that the newer one is in force.
         """
         async with self.lock:
-            following, outcome = take_news(
+            following, outcome = apply_update(
                 self.following,
                 news,
                 asked_at,
@@ -386,7 +386,7 @@
             revision = revision_of(held.revision, held.document)
         except ValidationError as bad:
             refused = NewsRefused(DocumentMalformed(str(bad)))
-            self.following = replace(self.following, needs_whole=True)
+            self.following = replace(self.following, needs_full_document=True)
             self.note_refused(refused)
             return refused
         if self.kept is not None:
@@ -406,7 +406,7 @@
             return True
         return any(vm.name == self.record.name for vm in revision.vms)
 
-    async def keep(self, kept: RevisionFile, held: Held) -> None:
+    async def keep(self, kept: RevisionFile, held: DocumentRevision) -> None:
         """Write a revision to the disk; a failure is counted and logged.
 
         Serving by an older revision until the disk is repaired would be
--- a/godwitshunt/configuration/tests/test_distribution.py
+++ b/godwitshunt/configuration/tests/test_distribution.py
@@ -8,7 +8,7 @@
     Pending,
 )
 from godwitshunt.configuration.document import digest_of, document_of
-from godwitshunt.configuration.history import Held, RevisionHistory
+from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
 from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.task import UnlistedStart
 from godwitshunt.configuration.tests.fakes import (
@@ -188,7 +188,7 @@
     await deployment.accept(manifest())
     service = deployment.services['c1']
     for subscription in service.subscriptions:
-        if subscription.callback == service.begin_upkeep:
+        if subscription.callback == service.begin_maintenance:
             subscription.cancel()
     kept = RevisionFile(tmp_path)
     record = deployment.add_vm('e5', 'split', 209, kept=kept)
@@ -198,7 +198,7 @@
     await deployment.tasks['e5'].close()
     deployment.add_vm('e5', 'split', 209, kept=kept)
     assert deployment.tasks['e5'].current is None
-    service.begin_upkeep()
+    service.begin_maintenance()
     await deployment.run(3)
     assert record in deployment.tasks['e5'].current.vms
 
@@ -252,12 +252,12 @@
     history = RevisionHistory()
     for revision in range(1, held + 1):
         document = document_of(manifest(revision))
-        history.add(Held(revision, digest_of(document), document))
+        history.add(DocumentRevision(revision, digest_of(document), document))
     for port, revision in replies.items():
         news = RevisionHistory()
         if revision:
             news.add(history.held[revision])
-        body = encode(news.news_for(0, float('inf')))
+        body = encode(news.make_update(0, float('inf')))
 
         async def answer(sender, asked, body=body):
             return body
--- a/godwitshunt/configuration/tests/test_following.py
+++ b/godwitshunt/configuration/tests/test_following.py
@@ -12,8 +12,8 @@
     pack,
     unpack,
 )
-from godwitshunt.configuration.history import Held, RevisionHistory
-from godwitshunt.configuration.sync_state import SyncState, take_news
+from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
+from godwitshunt.configuration.sync_state import SyncState, apply_update
 
 entries = st.lists(
     st.builds(
@@ -56,21 +56,21 @@
     sent = []
     following = SyncState()
     for revision, document in enumerate(versions, start=1):
-        held = Held(revision, digest_of(document), document)
+        held = DocumentRevision(revision, digest_of(document), document)
         committed[revision] = held.digest
         bases = [0, *history.held]
         history.add(held)
-        sent += [history.news_for(base, 0) for base in bases]
+        sent += [history.make_update(base, 0) for base in bases]
     for news in data.draw(st.lists(st.sampled_from(sent), max_size=12)):
         before = following.held.revision if following.held else 0
-        following, _ = take_news(following, news, 0)
+        following, _ = apply_update(following, news, 0)
         if following.held:
             assert following.held.revision >= before
             digest = digest_of(following.held.document)
             assert digest == committed[following.held.revision]
     for _ in range(2):
-        answer = history.news_for(following.base_revision, 0)
-        following, _ = take_news(following, answer, 5)
+        answer = history.make_update(following.base_revision, 0)
+        following, _ = apply_update(following, answer, 5)
     assert following.held.revision == len(versions)
     assert following.proof_at == 5
 
@@ -84,12 +84,12 @@
     history = RevisionHistory()
     for number in (1, 2):
         document = Document({'number': number}, {})
-        history.add(Held(number, digest_of(document), document))
-    delta = history.news_for(next(iter(history.held)), 0)
-    following, _ = take_news(SyncState(), delta, 5)
+        history.add(DocumentRevision(number, digest_of(document), document))
+    delta = history.make_update(next(iter(history.held)), 0)
+    following, _ = apply_update(SyncState(), delta, 5)
     assert following.held is None
     assert following.proof_at < 0
-    assert following.needs_whole
+    assert following.needs_full_document
 
 
 @pytest.mark.parametrize(
@@ -111,9 +111,9 @@
     """
     document = Document({'number': 1}, {})
     history = RevisionHistory()
-    history.add(Held(1, digest_of(document), document))
-    news = history.news_for(0, age_s)
-    following, _ = take_news(
+    history.add(DocumentRevision(1, digest_of(document), document))
+    news = history.make_update(0, age_s)
+    following, _ = apply_update(
         SyncState(started_at=10),
         news,
         asked_at,
--- a/godwitshunt/configuration/tests/test_kept_revision.py
+++ b/godwitshunt/configuration/tests/test_kept_revision.py
@@ -3,16 +3,16 @@
 import pytest
 
 from godwitshunt.configuration.document import digest_of, document_of
-from godwitshunt.configuration.history import Held
+from godwitshunt.configuration.history import DocumentRevision
 from godwitshunt.configuration.revision_file import FILE_NAME, RevisionFile
 from godwitshunt.configuration.tests.fakes import Deployment, manifest
 from godwitshunt.exceptions import StorageError
 
 
-def held(number: int) -> Held:
+def held(number: int) -> DocumentRevision:
     """Return a revision."""
     document = document_of(manifest(number))
-    return Held(number, digest_of(document), document)
+    return DocumentRevision(number, digest_of(document), document)
 
 
 @pytest.mark.parametrize(
