--- a/godwitshunt/configuration/tests/test_following.py
+++ b/godwitshunt/configuration/tests/test_following.py
@@ -62,16 +62,16 @@
         history.add(held)
         sent += [history.make_update(base, 0) for base in bases]
     for news in data.draw(st.lists(st.sampled_from(sent), max_size=12)):
-        before = following.held.revision if following.held else 0
+        before = following.latest.revision if following.latest else 0
         following, _ = apply_update(following, news, 0)
-        if following.held:
-            assert following.held.revision >= before
-            digest = digest_of(following.held.document)
-            assert digest == committed[following.held.revision]
+        if following.latest:
+            assert following.latest.revision >= before
+            digest = digest_of(following.latest.document)
+            assert digest == committed[following.latest.revision]
     for _ in range(2):
         answer = history.make_update(following.base_revision, 0)
         following, _ = apply_update(following, answer, 5)
-    assert following.held.revision == len(versions)
+    assert following.latest.revision == len(versions)
     assert following.proof_at == 5
 
 
@@ -87,7 +87,7 @@
         history.add(DocumentRevision(number, digest_of(document), document))
     delta = history.make_update(next(iter(history.held)), 0)
     following, _ = apply_update(SyncState(), delta, 5)
-    assert following.held is None
+    assert following.latest is None
     assert following.proof_at < 0
     assert following.needs_full_document
 
@@ -119,4 +119,4 @@
         asked_at,
         from_peer=from_peer,
     )
-    assert (following.held is not None) == begins
+    assert (following.latest is not None) == begins
