--- a/godwitshunt/configuration/sync_state.py
+++ b/godwitshunt/configuration/sync_state.py
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    held : DocumentRevision or None
+    latest : DocumentRevision or None
         The revision in force; None before the first.
     proof_at : float
         Monotonic time of the last proof of a live quorum, in seconds.
@@ -42,7 +42,7 @@
         with one that no quorum vouches for; infinite for never.
     """
 
-    held: DocumentRevision | None = None
+    latest: DocumentRevision | None = None
     proof_at: float = NEVER
     needs_full_document: bool = False
     started_at: float = NEVER
@@ -51,16 +51,16 @@
     @property
     def base_revision(self) -> int:
         """The revision to ask a delta over; 0 asks for the whole."""
-        if self.held is None or self.needs_full_document:
+        if self.latest is None or self.needs_full_document:
             return 0
-        return self.held.revision
+        return self.latest.revision
 
 
 @dataclass(frozen=True)
 class RevisionApplied:
     """A higher revision came into force."""
 
-    held: DocumentRevision
+    latest: DocumentRevision
 
 
 @dataclass(frozen=True)
@@ -106,12 +106,12 @@
     force. So a VM with a fresh proof holds every change that was committed
     before that proof, also where the proof came through a peer.
     """
-    held = following.held
-    if held is not None and news.revision <= held.revision:
+    latest = following.latest
+    if latest is not None and news.revision <= latest.revision:
         return proven(following, news, asked_at), NothingNewer()
     if not news.revision or not may_begin(following, news, asked_at, from_peer):
         return following, NothingNewer()
-    match read_news(held, news):
+    match read_news(latest, news):
         case Err(fault):
             return replace(following, needs_full_document=True), NewsRefused(
                 fault
@@ -119,7 +119,7 @@
         case Ok(document):
             newer = DocumentRevision(news.revision, news.digest, document)
             following = replace(
-                following, held=newer, needs_full_document=False
+                following, latest=newer, needs_full_document=False
             )
             return proven(following, news, asked_at), RevisionApplied(newer)
 
@@ -138,7 +138,7 @@
     revision must include every commit before the restart; or it must be in
     force on a VM of the region, which was waited for as much as this one.
     """
-    if following.held is not None or from_peer:
+    if following.latest is not None or from_peer:
         return True
     if asked_at is None:
         return False
@@ -162,11 +162,11 @@
 
 
 def read_news(
-    held: DocumentRevision | None,
+    latest: DocumentRevision | None,
     news: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
     """Return the document that the news leads to, its digest checked."""
-    read = read_body(held, news)
+    read = read_body(latest, news)
     if isinstance(read, Ok):
         found = digest_of(read.ok_value)
         if found != news.digest:
@@ -175,13 +175,15 @@
 
 
 def read_body(
-    held: DocumentRevision | None,
+    latest: DocumentRevision | None,
     news: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
     """Read the whole document, or the delta over the held one."""
     if not news.base_digest:
         return unpack_document(news.body)
-    found = '' if held is None else held.digest
-    if held is None or found != news.base_digest:
+    found = '' if latest is None else latest.digest
+    if latest is None or found != news.base_digest:
         return Err(DigestMismatch(news.base_digest, found))
-    return unpack(news.body).and_then(lambda delta: patch(held.document, delta))
+    return unpack(news.body).and_then(
+        lambda delta: patch(latest.document, delta)
+    )
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -209,11 +209,11 @@
 
     def take_kept(self, kept: RevisionFile) -> None:
         """Put the revision on disk in force, without proof of a quorum."""
-        held = kept.read()
-        if held is None:
+        latest = kept.read()
+        if latest is None:
             return
-        self.following = replace(self.following, held=held)
-        revision = revision_of(held.revision, held.document)
+        self.following = replace(self.following, latest=latest)
+        revision = revision_of(latest.revision, latest.document)
         if self.is_listed(revision):
             self.publish(revision)
 
@@ -381,16 +381,16 @@
         outcome: RevisionApplied,
     ) -> NewsOutcome:
         """Check, keep and publish a newer revision."""
-        held = outcome.held
+        latest = outcome.latest
         try:
-            revision = revision_of(held.revision, held.document)
+            revision = revision_of(latest.revision, latest.document)
         except ValidationError as bad:
             refused = NewsRefused(DocumentMalformed(str(bad)))
             self.following = replace(self.following, needs_full_document=True)
             self.note_refused(refused)
             return refused
         if self.kept is not None:
-            await self.keep(self.kept, held)
+            await self.keep(self.kept, latest)
         self.following = following
         if self.current is not None or self.is_listed(revision):
             self.publish(revision)
@@ -406,14 +406,14 @@
             return True
         return any(vm.name == self.record.name for vm in revision.vms)
 
-    async def keep(self, kept: RevisionFile, held: DocumentRevision) -> None:
+    async def keep(self, kept: RevisionFile, latest: DocumentRevision) -> None:
         """Write a revision to the disk; a failure is counted and logged.
 
         Serving by an older revision until the disk is repaired would be
         worse than losing the newer one at the next restart.
         """
         try:
-            await asyncio.to_thread(kept.write, held)
+            await asyncio.to_thread(kept.write, latest)
         except StorageError as failed:
             self.metrics.count('configuration_keep_failed_total')
             log_change('configuration:keep_failed', reason=failed.reason)
@@ -421,8 +421,8 @@
     def publish(self, revision: Revision) -> None:
         """Put a revision in force at once and tell the subscribers."""
         self.current = revision
-        if self.following.held is not None:
-            self.history.add(self.following.held)
+        if self.following.latest is not None:
+            self.history.add(self.following.latest)
         self.metrics.gauge('configuration_revision', revision.revision)
         log_change(
             'configuration:revision_in_force',
