--- a/godwitshunt/configuration/history.py
+++ b/godwitshunt/configuration/history.py
@@ -32,7 +32,7 @@
     `MAX_DOCUMENTS` costs little more than keeping one.
     """
 
-    held: OrderedDict[int, DocumentRevision] = field(
+    documents: OrderedDict[int, DocumentRevision] = field(
         default_factory=OrderedDict
     )
     newest: DocumentRevision | None = None
@@ -42,9 +42,9 @@
         """Keep a newer document."""
         self.newest = newest
         self.bodies.clear()
-        self.held[newest.revision] = newest
-        while len(self.held) > MAX_DOCUMENTS:
-            self.held.popitem(last=False)
+        self.documents[newest.revision] = newest
+        while len(self.documents) > MAX_DOCUMENTS:
+            self.documents.popitem(last=False)
 
     def make_update(
         self,
@@ -67,7 +67,7 @@
         if self.newest.revision <= revision:
             known = self.newest.revision
             return ConfigurationNews(known, '', '', b'', age_s, False)
-        base = self.held.get(revision)
+        base = self.documents.get(revision)
         return ConfigurationNews(
             revision=self.newest.revision,
             digest=self.newest.digest,
