--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -161,16 +161,16 @@
     )
     history = RevisionHistory()
     history.add(DocumentRevision(1, digest_of(base), base))
-    following = SyncState(history.newest)
+    sync_state = SyncState(history.newest)
     history.add(DocumentRevision(2, digest_of(target), target))
-    delta = history.make_update(following.base_revision, 0)
+    delta = history.make_update(sync_state.base_revision, 0)
     whole = history.make_update(0, 0)
     return Cost(
         whole_bytes=len(encode(whole)),
         delta_bytes=len(encode(delta)),
         accept_ms=least_ms(lambda: apply_command(state, command)),
         encode_ms=least_ms(lambda: pack(diff(base, target))),
-        take_ms=least_ms(lambda: apply_update(following, delta, 0)),
+        take_ms=least_ms(lambda: apply_update(sync_state, delta, 0)),
         validate_ms=least_ms(lambda: revision_of(2, target)),
         take_whole_ms=least_ms(lambda: apply_update(SyncState(), whole, 0)),
     )
--- a/godwitshunt/configuration/sync_state.py
+++ b/godwitshunt/configuration/sync_state.py
@@ -79,7 +79,7 @@
 
 
 def apply_update(
-    following: SyncState,
+    sync_state: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
     *,
@@ -89,7 +89,7 @@
 
     Parameters
     ----------
-    following : SyncState
+    sync_state : SyncState
         What the VM holds.
     news : ConfigurationNews
         From a control replica or a peer.
@@ -106,26 +106,28 @@
     force. So a VM with a fresh proof holds every change that was committed
     before that proof, also where the proof came through a peer.
     """
-    latest = following.latest
+    latest = sync_state.latest
     if latest is not None and news.revision <= latest.revision:
-        return proven(following, news, asked_at), NothingNewer()
-    if not news.revision or not may_begin(following, news, asked_at, from_peer):
-        return following, NothingNewer()
+        return proven(sync_state, news, asked_at), NothingNewer()
+    if not news.revision or not may_begin(
+        sync_state, news, asked_at, from_peer
+    ):
+        return sync_state, NothingNewer()
     match read_news(latest, news):
         case Err(fault):
-            return replace(following, needs_full_document=True), NewsRefused(
+            return replace(sync_state, needs_full_document=True), NewsRefused(
                 fault
             )
         case Ok(document):
             newer = DocumentRevision(news.revision, news.digest, document)
-            following = replace(
-                following, latest=newer, needs_full_document=False
+            sync_state = replace(
+                sync_state, latest=newer, needs_full_document=False
             )
-            return proven(following, news, asked_at), RevisionApplied(newer)
+            return proven(sync_state, news, asked_at), RevisionApplied(newer)
 
 
 def may_begin(
-    following: SyncState,
+    sync_state: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
     from_peer: bool,
@@ -138,27 +140,27 @@
     revision must include every commit before the restart; or it must be in
     force on a VM of the region, which was waited for as much as this one.
     """
-    if following.latest is not None or from_peer:
+    if sync_state.latest is not None or from_peer:
         return True
     if asked_at is None:
         return False
-    if asked_at - following.started_at >= following.unproven_after_s:
+    if asked_at - sync_state.started_at >= sync_state.unproven_after_s:
         return True
     if news.quorum_age_s < 0:
         return False
-    return asked_at - news.quorum_age_s >= following.started_at
+    return asked_at - news.quorum_age_s >= sync_state.started_at
 
 
 def proven(
-    following: SyncState,
+    sync_state: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
 ) -> SyncState:
     """Note the proof of a quorum that came with the news."""
     if asked_at is None or news.quorum_age_s < 0:
-        return following
-    proof_at = max(following.proof_at, asked_at - news.quorum_age_s)
-    return replace(following, proof_at=proof_at)
+        return sync_state
+    proof_at = max(sync_state.proof_at, asked_at - news.quorum_age_s)
+    return replace(sync_state, proof_at=proof_at)
 
 
 def read_news(
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -122,7 +122,7 @@
         self.timer = timer
         self.metrics = metrics
         self.kept = kept
-        self.following = SyncState()
+        self.sync_state = SyncState()
         self.current: Revision | None = None
         self.history = RevisionHistory()
         self.subscribers: list[RevisionNotice] = []
@@ -170,10 +170,10 @@
         StorageError
             Where the data folder cannot be read.
         """
-        self.following = replace(self.following, started_at=self.timer.now())
+        self.sync_state = replace(self.sync_state, started_at=self.timer.now())
         if self.unlisted is not None:
-            self.following = replace(
-                self.following,
+            self.sync_state = replace(
+                self.sync_state,
                 unproven_after_s=self.unlisted.unproven_after_s,
             )
         if self.kept is not None:
@@ -200,7 +200,7 @@
 
         Infinite where there was none since the process started.
         """
-        return self.timer.now() - self.following.proof_at
+        return self.timer.now() - self.sync_state.proof_at
 
     @property
     def is_admitted(self) -> bool:
@@ -212,7 +212,7 @@
         latest = kept.read()
         if latest is None:
             return
-        self.following = replace(self.following, latest=latest)
+        self.sync_state = replace(self.sync_state, latest=latest)
         revision = revision_of(latest.revision, latest.document)
         if self.is_listed(revision):
             self.publish(revision)
@@ -284,7 +284,7 @@
             return
         self.first.note(address, told)
         if self.first.has_majority(len(known_control(None, self.control))):
-            self.following = replace(self.following, unproven_after_s=0.0)
+            self.sync_state = replace(self.sync_state, unproven_after_s=0.0)
         newest = self.first.newest()
         await self.take(newest.news, newest.asked_at)
 
@@ -328,7 +328,7 @@
         return ttypes.VmHeartbeat(
             name=self.record.name,
             session=self.record.session,
-            revision=self.following.base_revision,
+            revision=self.sync_state.base_revision,
             vm=vm_to_wire(self.record) if self.sends_record else None,
         )
 
@@ -362,22 +362,22 @@
         the older one after it had said that the newer one is in force.
         """
         async with self.lock:
-            following, outcome = apply_update(
-                self.following,
+            sync_state, outcome = apply_update(
+                self.sync_state,
                 news,
                 asked_at,
                 from_peer=from_peer,
             )
             if isinstance(outcome, RevisionApplied):
-                return await self.put_in_force(following, outcome)
-            self.following = following
+                return await self.put_in_force(sync_state, outcome)
+            self.sync_state = sync_state
             if isinstance(outcome, NewsRefused):
                 self.note_refused(outcome)
             return outcome
 
     async def put_in_force(
         self,
-        following: SyncState,
+        sync_state: SyncState,
         outcome: RevisionApplied,
     ) -> NewsOutcome:
         """Check, keep and publish a newer revision."""
@@ -386,12 +386,12 @@
             revision = revision_of(latest.revision, latest.document)
         except ValidationError as bad:
             refused = NewsRefused(DocumentMalformed(str(bad)))
-            self.following = replace(self.following, needs_full_document=True)
+            self.sync_state = replace(self.sync_state, needs_full_document=True)
             self.note_refused(refused)
             return refused
         if self.kept is not None:
             await self.keep(self.kept, latest)
-        self.following = following
+        self.sync_state = sync_state
         if self.current is not None or self.is_listed(revision):
             self.publish(revision)
         return outcome
@@ -421,8 +421,8 @@
     def publish(self, revision: Revision) -> None:
         """Put a revision in force at once and tell the subscribers."""
         self.current = revision
-        if self.following.latest is not None:
-            self.history.add(self.following.latest)
+        if self.sync_state.latest is not None:
+            self.history.add(self.sync_state.latest)
         self.metrics.gauge('configuration_revision', revision.revision)
         log_change(
             'configuration:revision_in_force',
--- a/godwitshunt/configuration/tests/test_distribution.py
+++ b/godwitshunt/configuration/tests/test_distribution.py
@@ -193,7 +193,7 @@
     kept = RevisionFile(tmp_path)
     record = deployment.add_vm('e5', 'split', 209, kept=kept)
     await deployment.run(3)
-    assert deployment.tasks['e5'].following.latest is not None
+    assert deployment.tasks['e5'].sync_state.latest is not None
     assert deployment.tasks['e5'].current is None
     await deployment.tasks['e5'].close()
     deployment.add_vm('e5', 'split', 209, kept=kept)
--- a/godwitshunt/configuration/tests/test_following.py
+++ b/godwitshunt/configuration/tests/test_following.py
@@ -54,7 +54,7 @@
     history = RevisionHistory()
     committed = {}
     sent = []
-    following = SyncState()
+    sync_state = SyncState()
     for revision, document in enumerate(versions, start=1):
         held = DocumentRevision(revision, digest_of(document), document)
         committed[revision] = held.digest
@@ -62,17 +62,17 @@
         history.add(held)
         sent += [history.make_update(base, 0) for base in bases]
     for news in data.draw(st.lists(st.sampled_from(sent), max_size=12)):
-        before = following.latest.revision if following.latest else 0
-        following, _ = apply_update(following, news, 0)
-        if following.latest:
-            assert following.latest.revision >= before
-            digest = digest_of(following.latest.document)
-            assert digest == committed[following.latest.revision]
+        before = sync_state.latest.revision if sync_state.latest else 0
+        sync_state, _ = apply_update(sync_state, news, 0)
+        if sync_state.latest:
+            assert sync_state.latest.revision >= before
+            digest = digest_of(sync_state.latest.document)
+            assert digest == committed[sync_state.latest.revision]
     for _ in range(2):
-        answer = history.make_update(following.base_revision, 0)
-        following, _ = apply_update(following, answer, 5)
-    assert following.latest.revision == len(versions)
-    assert following.proof_at == 5
+        answer = history.make_update(sync_state.base_revision, 0)
+        sync_state, _ = apply_update(sync_state, answer, 5)
+    assert sync_state.latest.revision == len(versions)
+    assert sync_state.proof_at == 5
 
 
 def test_proof_counts_only_with_its_revision():
@@ -86,10 +86,10 @@
         document = Document({'number': number}, {})
         history.add(DocumentRevision(number, digest_of(document), document))
     delta = history.make_update(next(iter(history.held)), 0)
-    following, _ = apply_update(SyncState(), delta, 5)
-    assert following.latest is None
-    assert following.proof_at < 0
-    assert following.needs_full_document
+    sync_state, _ = apply_update(SyncState(), delta, 5)
+    assert sync_state.latest is None
+    assert sync_state.proof_at < 0
+    assert sync_state.needs_full_document
 
 
 @pytest.mark.parametrize(
@@ -113,10 +113,10 @@
     history = RevisionHistory()
     history.add(DocumentRevision(1, digest_of(document), document))
     news = history.make_update(0, age_s)
-    following, _ = apply_update(
+    sync_state, _ = apply_update(
         SyncState(started_at=10),
         news,
         asked_at,
         from_peer=from_peer,
     )
-    assert (following.latest is not None) == begins
+    assert (sync_state.latest is not None) == begins
