--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -74,7 +74,7 @@
         Gives the periods.
     metrics : Metrics
         Counts heartbeats, news and changes.
-    kept : RevisionFile or None
+    revision_file : RevisionFile or None
         The newest committed revision on disk; None keeps none.
     """
 
@@ -86,9 +86,9 @@
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
-        kept: RevisionFile | None = None,
+        revision_file: RevisionFile | None = None,
     ) -> None:
-        self.kept = kept
+        self.revision_file = revision_file
         self.record = record
         self.named_others = others
         self.log = log
@@ -124,10 +124,10 @@
             for address in settings.control
             if address != settings.peer_reached
         )
-        kept = None
+        revision_file = None
         if settings.keeps_revision:
-            kept = RevisionFile(settings.data_folder)
-        return cls(record, others, log, links, timer, metrics, kept)
+            revision_file = RevisionFile(settings.data_folder)
+        return cls(record, others, log, links, timer, metrics, revision_file)
 
     def set_control_addresses(self, control: tuple[Address, ...]) -> None:
         """Know other control replicas from now on, as settings name them."""
@@ -238,7 +238,7 @@
         held = DocumentRevision(state.revision, digest_of(document), document)
         self.history.add(held)
         self.publish(held)
-        if self.kept is not None:
+        if self.revision_file is not None:
             self.background.run('keep', self.keep)
         self.metrics.gauge('configuration_revision', held.revision)
         log_change(
@@ -257,7 +257,7 @@
         After a restart of all replicas nothing counts as committed until one
         of them leads; what was committed before then is known to be.
         """
-        held = None if self.kept is None else self.kept.read()
+        held = None if self.revision_file is None else self.revision_file.read()
         if held is not None:
             self.history.add(held)
             log_change('configuration:kept_taken', revision=held.revision)
@@ -272,7 +272,7 @@
         while written is not self.history.newest:
             written = self.history.newest
             try:
-                await asyncio.to_thread(self.kept.write, written)
+                await asyncio.to_thread(self.revision_file.write, written)
             except StorageError as failed:
                 self.metrics.count('configuration_keep_failed_total')
                 log_change('configuration:keep_failed', reason=failed.reason)
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -90,7 +90,7 @@
         Gives the periods.
     metrics : Metrics
         Counts heartbeats and applied revisions.
-    kept : RevisionFile or None
+    revision_file : RevisionFile or None
         The newest revision on disk; None where the VM has no disk.
     unlisted : UnlistedStart or None
         How a VM starts that no acceptance ever waits for; None for one that
@@ -111,7 +111,7 @@
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
-        kept: RevisionFile | None,
+        revision_file: RevisionFile | None,
         unlisted: UnlistedStart | None = None,
     ) -> None:
         self.unlisted = unlisted
@@ -121,7 +121,7 @@
         self.links = links
         self.timer = timer
         self.metrics = metrics
-        self.kept = kept
+        self.revision_file = revision_file
         self.sync_state = SyncState()
         self.current: Revision | None = None
         self.history = RevisionHistory()
@@ -148,9 +148,9 @@
         unlisted: UnlistedStart | None = None,
     ) -> Self:
         """Make the task of a VM."""
-        kept = None
+        revision_file = None
         if settings.data_folder is not None:
-            kept = RevisionFile(Path(settings.data_folder))
+            revision_file = RevisionFile(Path(settings.data_folder))
         return cls(
             record,
             settings.control,
@@ -158,7 +158,7 @@
             links,
             timer,
             metrics,
-            kept,
+            revision_file,
             unlisted,
         )
 
@@ -176,8 +176,8 @@
                 self.sync_state,
                 unproven_after_s=self.unlisted.unproven_after_s,
             )
-        if self.kept is not None:
-            self.take_kept(self.kept)
+        if self.revision_file is not None:
+            self.take_kept(self.revision_file)
         self.links.subscribe(MessageKind.configuration_news, self.on_news)
         self.links.subscribe(MessageKind.configuration_fetch, self.on_fetch)
         self.begin_heartbeat()
@@ -207,9 +207,9 @@
         """True where the revision in force lists this VM."""
         return self.current is not None and self.record in self.current.vms
 
-    def take_kept(self, kept: RevisionFile) -> None:
+    def take_kept(self, revision_file: RevisionFile) -> None:
         """Put the revision on disk in force, without proof of a quorum."""
-        latest = kept.read()
+        latest = revision_file.read()
         if latest is None:
             return
         self.sync_state = replace(self.sync_state, latest=latest)
@@ -389,8 +389,8 @@
             self.sync_state = replace(self.sync_state, needs_full_document=True)
             self.note_refused(refused)
             return refused
-        if self.kept is not None:
-            await self.keep(self.kept, latest)
+        if self.revision_file is not None:
+            await self.keep(self.revision_file, latest)
         self.sync_state = sync_state
         if self.current is not None or self.is_listed(revision):
             self.publish(revision)
@@ -406,14 +406,16 @@
             return True
         return any(vm.name == self.record.name for vm in revision.vms)
 
-    async def keep(self, kept: RevisionFile, latest: DocumentRevision) -> None:
+    async def keep(
+        self, revision_file: RevisionFile, latest: DocumentRevision
+    ) -> None:
         """Write a revision to the disk; a failure is counted and logged.
 
         Serving by an older revision until the disk is repaired would be
         worse than losing the newer one at the next restart.
         """
         try:
-            await asyncio.to_thread(kept.write, latest)
+            await asyncio.to_thread(revision_file.write, latest)
         except StorageError as failed:
             self.metrics.count('configuration_keep_failed_total')
             log_change('configuration:keep_failed', reason=failed.reason)
