--- a/godwitshunt/configuration/document.py
+++ b/godwitshunt/configuration/document.py
@@ -114,7 +114,7 @@
     return entry['name']
 
 
-def by_name(section: str, entries: Iterable[Entry]) -> Section:
+def index_by_name(section: str, entries: Iterable[Entry]) -> Section:
     """Return entries by their names, in order."""
     return {entry_name(section, entry): entry for entry in entries}
 
@@ -123,7 +123,8 @@
     """Return the document of a manifest, without VMs and holders."""
     fields = manifest.model_dump(mode='json')
     sections = {
-        name: by_name(name, fields.pop(name)) for name in MANIFEST_SECTIONS
+        name: index_by_name(name, fields.pop(name))
+        for name in MANIFEST_SECTIONS
     }
     return Document(fields, sections)
 
@@ -192,7 +193,7 @@
     """Read a document from plain JSON fields."""
     try:
         sections = {
-            name: by_name(name, fields['sections'].get(name, ()))
+            name: index_by_name(name, fields['sections'].get(name, ()))
             for name in SECTIONS
         }
         return Ok(Document(fields['scalars'], sections))
--- a/godwitshunt/configuration/tests/test_following.py
+++ b/godwitshunt/configuration/tests/test_following.py
@@ -7,8 +7,8 @@
 from godwitshunt.configuration.delta import diff, patch
 from godwitshunt.configuration.document import (
     Document,
-    by_name,
     digest_of,
+    index_by_name,
     pack,
     unpack,
 )
@@ -26,7 +26,10 @@
 documents = st.builds(
     lambda number, callers, vms: Document(
         {'number': number},
-        {'callers': by_name('callers', callers), 'vms': by_name('vms', vms)},
+        {
+            'callers': index_by_name('callers', callers),
+            'vms': index_by_name('vms', vms),
+        },
     ),
     st.integers(1, 9),
     entries,
