--- a/godwitshunt/configuration/tests/test_schedules.py
+++ b/godwitshunt/configuration/tests/test_schedules.py
@@ -51,7 +51,7 @@
         """Apply what has come, unless this replica lags."""
         while self.late and not self.lagging:
             payload = self.late.pop(0)
-            for apply in self.followers:
+            for apply in self.subscribers:
                 apply(0, 1, payload)
 
     def leadership(self) -> Leadership:
