--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -20,8 +20,8 @@
 from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
 from godwitshunt.configuration.news_wire import decode_news, vm_to_wire
 from godwitshunt.configuration.poll_order import (
+    all_control_addresses,
     control_order,
-    known_control,
     peer_order,
 )
 from godwitshunt.configuration.revision import (
@@ -247,7 +247,7 @@
         for address in control_order(
             self.current,
             self.record,
-            known_control(self.current, self.control),
+            all_control_addresses(self.current, self.control),
             self.preferred,
         ):
             if await self.poll_one(address, MessageKind.vm_heartbeat):
@@ -271,7 +271,7 @@
         silent at first: asked in turn, each of them costs its callers half a
         second in which nobody is served.
         """
-        for address in known_control(None, self.control):
+        for address in all_control_addresses(None, self.control):
             self.background.run(
                 f'first from {address}',
                 partial(self.ask_first, address),
@@ -283,7 +283,9 @@
         if told is None or self.current is not None:
             return
         self.first.note(address, told)
-        if self.first.has_majority(len(known_control(None, self.control))):
+        if self.first.has_majority(
+            len(all_control_addresses(None, self.control))
+        ):
             self.sync_state = replace(self.sync_state, unproven_after_s=0.0)
         newest = self.first.newest()
         await self.take(newest.news, newest.asked_at)
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -8,7 +8,7 @@
     ConfigurationTask,
     VmRole,
 )
-from godwitshunt.configuration.poll_order import known_control
+from godwitshunt.configuration.poll_order import all_control_addresses
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.configuration.task import UnlistedStart
 from godwitshunt.ingress import HeaderNames, IngressTask
@@ -115,7 +115,7 @@
         of = (configuration.current, configuration.control)
         if of != self.control_of:
             self.control_of = of
-            self.known = known_control(*of)
+            self.known = all_control_addresses(*of)
         return self.known
 
     def accepting(self) -> tuple[EntryRecord, ...]:
