--- a/godwitshunt/configuration/background.py
+++ b/godwitshunt/configuration/background.py
@@ -35,9 +35,9 @@
         """Do the work; log a fault, or a message that it could not read."""
         try:
             await work()
-        except FrameError as bad:
+        except FrameError as error:
             log_change(
-                'background:message_malformed', work=name, fault=str(bad)
+                'background:message_malformed', work=name, fault=str(error)
             )
         except Exception as fault:
             # The next notice begins the work anew; the fault must be seen.
--- a/godwitshunt/configuration/cluster.py
+++ b/godwitshunt/configuration/cluster.py
@@ -48,7 +48,9 @@
         own: Address,
     ) -> None:
         self.consensus = consensus
-        self.others = tuple(one for one in control if one != own)
+        self.other_replicas = tuple(
+            member for member in control if member != own
+        )
         # Two operators who start the cluster at once at two replicas would
         # make two clusters; so only the replica named first ever does.
         self.is_first = control[0] == own
@@ -64,7 +66,7 @@
         """
         async with self.lock:
             if self.consensus.identity().unused:
-                return await bootstrap(self.consensus, self.others)
+                return await bootstrap(self.consensus, self.other_replicas)
             if not self.consensus.leadership().is_leader:
                 return Err(
                     AlreadyInitialised(self.consensus.identity().replica)
@@ -74,24 +76,24 @@
     async def join_missing(self) -> Result[object, BootstrapFailure]:
         """Make voters of the named replicas that are no members yet."""
         own = self.consensus.identity().replica
-        done: Result[object, BootstrapFailure] = Err(AlreadyInitialised(own))
-        for address in self.others:
-            found = await self.consensus.transport.identify(
+        outcome: Result[object, BootstrapFailure] = Err(AlreadyInitialised(own))
+        for address in self.other_replicas:
+            identified = await self.consensus.transport.identify(
                 address,
                 IDENTIFY_TIMEOUT_S,
             )
-            if isinstance(found, Err):
-                return found
-            identity = found.ok_value
+            if isinstance(identified, Err):
+                return identified
+            identity = identified.ok_value
             if self.is_missing(identity):
-                done = await self.put_in_place(identity, address, ())
-                if isinstance(done, Err):
-                    return done
-        return done
+                outcome = await self.make_voter(identity, address, ())
+                if isinstance(outcome, Err):
+                    return outcome
+        return outcome
 
     def is_missing(self, identity: Identity) -> bool:
         """Tell whether a replica is not a voter, nor its name any member."""
-        named = self.members_of(identity.replica.name)
+        named = self.members_on_vm(identity.replica.name)
         if not named:
             return identity.unused
         return named[0].replica == identity.replica and not named[0].voter
@@ -119,7 +121,7 @@
         async with self.lock:
             if not self.consensus.leadership().is_leader:
                 return Err(NotLeader(self.consensus.leadership().name))
-            lost = self.members_of(name)
+            lost = self.members_on_vm(name)
             if not lost:
                 return Err(UnknownMember(ReplicaId(name, '')))
             identified = await self.consensus.transport.identify(
@@ -128,13 +130,13 @@
             )
             if isinstance(identified, Err):
                 return identified
-            return await self.put_in_place(
+            return await self.make_voter(
                 identified.ok_value,
                 address or lost[0].address,
-                tuple(one.replica for one in lost),
+                tuple(member.replica for member in lost),
             )
 
-    async def put_in_place(
+    async def make_voter(
         self,
         identity: Identity,
         address: Address,
@@ -142,33 +144,37 @@
     ) -> Result[object, BootstrapFailure]:
         """Add, promote and remove, as far as that is not done yet."""
         new = identity.replica
-        known = {one.replica: one for one in self.consensus.members()}
-        done: Result[object, BootstrapFailure] = Ok(None)
+        known = {member.replica: member for member in self.consensus.members()}
+        outcome: Result[object, BootstrapFailure] = Ok(None)
         if new not in known:
-            done = await self.consensus.add_learner(
+            outcome = await self.consensus.add_learner(
                 new.name,
                 new.incarnation,
                 address,
             )
-        if isinstance(done, Ok) and not (new in known and known[new].voter):
-            done = await self.consensus.promote(new.name)
+        if isinstance(outcome, Ok) and not (new in known and known[new].voter):
+            outcome = await self.consensus.promote(new.name)
         for old in lost:
-            if isinstance(done, Ok) and old != new:
-                done = await self.consensus.remove(old.name, old.incarnation)
-        return done
+            if isinstance(outcome, Ok) and old != new:
+                outcome = await self.consensus.remove(old.name, old.incarnation)
+        return outcome
 
-    def members_of(self, name: str) -> tuple[MemberStatus, ...]:
+    def members_on_vm(self, name: str) -> tuple[MemberStatus, ...]:
         """Return the members of a VM, one for each of its folders."""
         return tuple(
-            one for one in self.consensus.members() if one.replica.name == name
+            member
+            for member in self.consensus.members()
+            if member.replica.name == name
         )
 
     def describe(self) -> dict[str, Any]:
         """Return voters, learners and whether one more loss is survivable."""
         members = self.consensus.members()
         return {
-            'voters': [describe(one) for one in members if one.voter],
-            'learners': [describe(one) for one in members if not one.voter],
+            'voters': [describe(member) for member in members if member.voter],
+            'learners': [
+                describe(member) for member in members if not member.voter
+            ],
             'survives_one_more_loss': self.consensus.survives_one_loss(),
         }
 
--- a/godwitshunt/configuration/delta.py
+++ b/godwitshunt/configuration/delta.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from godwitshunt.configuration.document import (
-    MALFORMED,
+    MALFORMED_ERRORS,
     SECTIONS,
     Document,
     DocumentMalformed,
@@ -45,19 +45,19 @@
     The order of entries is part of the digest. New entries carry their place;
     where entries that stay have changed their order, the whole section goes.
     """
-    kept_before = [name for name in before if name in after]
-    kept_after = [name for name in after if name in before]
-    if kept_before != kept_after:
+    common_before = [name for name in before if name in after]
+    common_after = [name for name in after if name in before]
+    if common_before != common_after:
         return {'whole': list(after.values())}
-    places = enumerate(after.items())
+    positions = enumerate(after.items())
     return {
         'removed': [name for name in before if name not in after],
         'changed': [
-            after[name] for name in kept_after if after[name] != before[name]
+            after[name] for name in common_after if after[name] != before[name]
         ],
         'added': [
-            [place, entry]
-            for place, (name, entry) in places
+            [position, entry]
+            for position, (name, entry) in positions
             if name not in before
         ],
     }
@@ -79,8 +79,8 @@
                 {**base.sections, **sections},
             ),
         )
-    except MALFORMED as bad:
-        return Err(DocumentMalformed(repr(bad)))
+    except MALFORMED_ERRORS as error:
+        return Err(DocumentMalformed(repr(error)))
 
 
 def patch_section(
@@ -107,6 +107,6 @@
 
 def insert_all(entries: list, added: Sequence) -> list:
     """Insert entries at their places, lowest place first."""
-    for place, entry in added:
-        entries.insert(place, entry)
+    for position, entry in added:
+        entries.insert(position, entry)
     return entries
--- a/godwitshunt/configuration/document.py
+++ b/godwitshunt/configuration/document.py
@@ -42,7 +42,7 @@
 SYSTEM_SECTIONS = ('vms', 'holders', EVACUATIONS)
 SECTIONS = MANIFEST_SECTIONS + SYSTEM_SECTIONS
 MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
-MALFORMED = (LookupError, TypeError, AttributeError, ValueError)
+MALFORMED_ERRORS = (LookupError, TypeError, AttributeError, ValueError)
 EMPTY: Mapping[str, Any] = MappingProxyType({})
 
 
@@ -129,14 +129,16 @@
     return Document(fields, sections)
 
 
-def canonical(fields: Any) -> bytes:
+def canonical_json(fields: Any) -> bytes:
     """Return the one byte form that equal values share."""
     return json.dumps(fields, sort_keys=True, separators=(',', ':')).encode()
 
 
 def digest_of(document: Document) -> str:
     """Return the SHA-256 of the whole document, in hexadecimal."""
-    return hashlib.sha256(canonical(plain(document))).hexdigest()
+    return hashlib.sha256(
+        canonical_json(document_to_plain(document))
+    ).hexdigest()
 
 
 def manifest_digest_of(document: Document) -> str:
@@ -145,10 +147,12 @@
     It equals `godwitshunt.manifest.manifest_digest` of the same manifest and
     needs no validation, so that replicas check a delta cheaply.
     """
-    return hashlib.sha256(canonical(document.manifest_fields())).hexdigest()
+    return hashlib.sha256(
+        canonical_json(document.manifest_fields())
+    ).hexdigest()
 
 
-def plain(document: Document) -> dict[str, Any]:
+def document_to_plain(document: Document) -> dict[str, Any]:
     """Return the document as plain JSON fields."""
     return {
         'scalars': dict(document.scalars),
@@ -160,7 +164,7 @@
 
 def pack(fields: Any) -> bytes:
     """Return compressed JSON."""
-    return zlib.compress(canonical(fields))
+    return zlib.compress(canonical_json(fields))
 
 
 def unpack(body: bytes) -> Result[Any, DocumentMalformed]:
@@ -168,8 +172,8 @@
     stream = zlib.decompressobj()
     try:
         fields = json.loads(stream.decompress(body, MAX_DOCUMENT_BYTES))
-    except (ValueError, zlib.error, RecursionError) as bad:
-        return Err(DocumentMalformed(repr(bad)))
+    except (ValueError, zlib.error, RecursionError) as error:
+        return Err(DocumentMalformed(repr(error)))
     if not isinstance(fields, dict):
         return Err(DocumentMalformed('not an object'))
     return Ok(fields)
@@ -177,7 +181,7 @@
 
 def pack_document(document: Document) -> bytes:
     """Return the whole document in its wire form."""
-    return pack(plain(document))
+    return pack(document_to_plain(document))
 
 
 def unpack_document(body: bytes) -> Result[Document, DocumentMalformed]:
@@ -186,10 +190,12 @@
         case Err(fault):
             return Err(fault)
         case Ok(fields):
-            return read_plain(fields)
+            return document_from_plain(fields)
 
 
-def read_plain(fields: dict[str, Any]) -> Result[Document, DocumentMalformed]:
+def document_from_plain(
+    fields: dict[str, Any],
+) -> Result[Document, DocumentMalformed]:
     """Read a document from plain JSON fields."""
     try:
         sections = {
@@ -197,8 +203,8 @@
             for name in SECTIONS
         }
         return Ok(Document(fields['scalars'], sections))
-    except MALFORMED as bad:
-        return Err(DocumentMalformed(repr(bad)))
+    except MALFORMED_ERRORS as error:
+        return Err(DocumentMalformed(repr(error)))
 
 
 def revision_of(revision: int, document: Document) -> Revision:
--- a/godwitshunt/configuration/explanation.py
+++ b/godwitshunt/configuration/explanation.py
@@ -2,7 +2,10 @@
 
 from typing import Any
 
-from godwitshunt.configuration.narrowing import model_regions, rule_regions
+from godwitshunt.configuration.region_removals import (
+    model_regions,
+    rule_regions,
+)
 from godwitshunt.configuration.state import ControlState
 from godwitshunt.manifest import Manifest, Organisation, Route
 from godwitshunt.organisations import bind_route
@@ -66,46 +69,46 @@
         Where the manifest declares no such organisation.
     """
     manifest = Manifest.model_validate(state.document.manifest_fields())
-    holders = {one.name: one for one in manifest.organisations}
-    holder = None if organisation is None else holders[organisation]
-    told = {
+    organisations = {one.name: one for one in manifest.organisations}
+    owner = None if organisation is None else organisations[organisation]
+    fields = {
         'revision': state.revision,
         'number': state.highest_number,
         'organisation': organisation,
     }
-    route = route_at(manifest, host, path)
+    route = find_route(manifest, host, path)
     if route is None:
-        return {**told, 'answer': '404: no route has this host and path'}
-    told |= {'route': route.name, 'keyed': route.keyed}
-    return {**told, **rules_of(route, holder)}
+        return {**fields, 'answer': '404: no route has this host and path'}
+    fields |= {'route': route.name, 'keyed': route.keyed}
+    return {**fields, **describe_route(route, owner)}
 
 
-def route_at(manifest: Manifest, host: str, path: str) -> Route | None:
+def find_route(manifest: Manifest, host: str, path: str) -> Route | None:
     """Return the route with the longest prefix that begins a path."""
-    fitting = [
+    matching = [
         route
         for route in manifest.routes
         if route.host == host.lower() and path.startswith(route.path_prefix)
     ]
-    return max(fitting, key=lambda one: len(one.path_prefix), default=None)
+    return max(matching, key=lambda one: len(one.path_prefix), default=None)
 
 
-def rules_of(route: Route, holder: Organisation | None) -> dict[str, Any]:
+def describe_route(route: Route, owner: Organisation | None) -> dict[str, Any]:
     """Return what holds for an organisation's requests of a route."""
-    if route.keyed and holder is None:
+    if route.keyed and owner is None:
         return {'answer': '401: the route asks for a key'}
-    bound = bind_route(route, holder if route.keyed else None)
+    bound = bind_route(route, owner if route.keyed else None)
     if bound is None:
         return {
             'answer': '503: route and organisation have no home in common',
             'homes_of_route': list(route.homes),
-            'homes_of_organisation': list(holder.homes),
+            'homes_of_organisation': list(owner.homes),
         }
-    limit = None if holder is None else holder.limit
+    limit = None if owner is None else owner.limit
     return {
         'answer': 'served',
         'homes': list(bound.homes) or 'all',
         'rank_of_route': bound.rank,
-        'rank_of_organisation': None if holder is None else holder.rank,
+        'rank_of_organisation': None if owner is None else owner.rank,
         'limit': None if limit is None else limit.model_dump(mode='json'),
     }
--- a/godwitshunt/configuration/freshness.py
+++ b/godwitshunt/configuration/freshness.py
@@ -21,38 +21,46 @@
     current_at : float
         Monotonic time in seconds; nothing that was committed before is
         missing here.
-    waiting : tuple of (int, float)
+    pending_proofs : tuple of (int, float)
         Proofs whose revision is not applied yet: revision and time.
     """
 
     current_at: float = NEVER
-    waiting: tuple[tuple[int, float], ...] = ()
+    pending_proofs: tuple[tuple[int, float], ...] = ()
 
-    def prove(
-        self, revision: int, asked_at: float, applied: int
+    def record_proof(
+        self, revision: int, requested_at: float, applied: int
     ) -> 'Freshness':
-        """Note that a revision was the newest at some time after `asked_at`.
+        """Record that a revision was the newest after `requested_at`.
 
         Examples
         --------
-        >>> Freshness().prove(revision=3, asked_at=5.0, applied=2).current_at
+        >>> Freshness().record_proof(
+        ...     revision=3, requested_at=5.0, applied=2
+        ... ).current_at
         -inf
-        >>> Freshness().prove(3, 5.0, 2).catch_up(3).current_at
+        >>> Freshness().record_proof(3, 5.0, 2).catch_up(3).current_at
         5.0
         """
         if revision > applied:
-            later = [one for one in self.waiting if one[0] < revision]
-            return replace(self, waiting=(*later, (revision, asked_at)))
-        return replace(self, current_at=max(self.current_at, asked_at))
+            remaining = [
+                proof for proof in self.pending_proofs if proof[0] < revision
+            ]
+            return replace(
+                self, pending_proofs=(*remaining, (revision, requested_at))
+            )
+        return replace(self, current_at=max(self.current_at, requested_at))
 
     def catch_up(self, applied: int) -> 'Freshness':
         """Count the proofs whose revision is applied now."""
-        if not self.waiting:
+        if not self.pending_proofs:
             return self
-        counted = [
-            asked_at for need, asked_at in self.waiting if need <= applied
+        times = [
+            requested_at
+            for revision, requested_at in self.pending_proofs
+            if revision <= applied
         ]
         return Freshness(
-            max([self.current_at, *counted]),
-            tuple(one for one in self.waiting if one[0] > applied),
+            max([self.current_at, *times]),
+            tuple(proof for proof in self.pending_proofs if proof[0] > applied),
         )
--- a/godwitshunt/configuration/freshness_task.py
+++ b/godwitshunt/configuration/freshness_task.py
@@ -7,9 +7,9 @@
 from godwitshunt.configuration.freshness import Freshness
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.history import UNKNOWN_AGE_S
-from godwitshunt.configuration.news_wire import decode_news
 from godwitshunt.configuration.state import ControlState
 from godwitshunt.configuration.state_machine import StateMachine
+from godwitshunt.configuration.update_wire import decode_update
 from godwitshunt.peer import MessageKind, PeerLinks, encode
 from godwitshunt.timer import Subscription, Timer
 
@@ -47,7 +47,7 @@
         """Begin to ask, and to answer other replicas."""
         self.machine.subscribe(self.on_state)
         self.links.subscribe(MessageKind.configuration_fetch, self.on_fetch)
-        self.subscription = self.timer.every(PROOF_PERIOD_S, self.begin_proof)
+        self.subscription = self.timer.every(PROOF_PERIOD_S, self.start_proof)
 
     async def close(self) -> None:
         """Ask no more."""
@@ -66,29 +66,31 @@
         """
         return self.timer.now() - self.freshness.current_at
 
-    def begin_proof(self) -> None:
+    def start_proof(self) -> None:
         """Find out whether this replica has every commit."""
         self.background.run('proof', self.prove)
 
     async def prove(self) -> None:
         """Ask the log where this replica leads, else the leader."""
-        asked_at = self.timer.now()
+        requested_at = self.timer.now()
         leadership = self.machine.log.leadership()
         if leadership.is_leader:
-            newest = await self.newest_revision()
+            newest = await self.read_newest_revision()
         else:
-            newest = await self.ask_leader(leadership.name)
+            newest = await self.query_leader(leadership.name)
         if newest is not None:
             applied = self.machine.state.revision
-            self.freshness = self.freshness.prove(newest, asked_at, applied)
+            self.freshness = self.freshness.record_proof(
+                newest, requested_at, applied
+            )
 
-    async def newest_revision(self) -> int | None:
+    async def read_newest_revision(self) -> int | None:
         """Return the revision that includes every commit so far."""
         if isinstance(await self.machine.log.read_barrier(), Err):
             return None
         return self.machine.state.revision
 
-    async def ask_leader(self, name: str | None) -> int | None:
+    async def query_leader(self, name: str | None) -> int | None:
         """Return the leader's revision, once it has every commit."""
         leader = self.machine.state.document.section('vms').get(name or '')
         if leader is None:
@@ -101,14 +103,16 @@
         )
         if isinstance(reply, Err):
             return None
-        news = decode_news(reply.ok_value)
-        return news.revision if news.quorum_age_s == 0 else None
+        update = decode_update(reply.ok_value)
+        return update.revision if update.quorum_age_s == 0 else None
 
     async def on_fetch(self, sender: str, body: bytes) -> bytes:
         """Tell another control replica which revision is the newest."""
         newest = None
         if self.machine.log.leadership().is_leader:
-            newest = await self.newest_revision()
+            newest = await self.read_newest_revision()
         age_s = UNKNOWN_AGE_S if newest is None else 0
-        news = ttypes.ConfigurationNews(newest or 0, '', '', b'', age_s, False)
-        return encode(news)
+        update = ttypes.ConfigurationNews(
+            newest or 0, '', '', b'', age_s, False
+        )
+        return encode(update)
--- a/godwitshunt/configuration/http_calls.py
+++ b/godwitshunt/configuration/http_calls.py
@@ -73,10 +73,10 @@
 
 # With this a closed socket drops what it has not sent yet, so that a call
 # that was given up does not arrive later.
-DROP_UNSENT = struct.pack('ii', 1, 0)
+LINGER_DISCARD = struct.pack('ii', 1, 0)
 
 
-def always() -> bool:
+def always_permit() -> bool:
     """Permit every call."""
     return True
 
@@ -84,7 +84,7 @@
 async def call_http(
     address: Address,
     call: HttpCall,
-    permit: Permit = always,
+    permit: Permit = always_permit,
     tls: ssl.SSLContext | None = None,
 ) -> Result[HttpAnswer, HttpFailure]:
     """Send a request and read the whole answer.
@@ -108,26 +108,32 @@
                 address.port,
                 ssl=tls,
             )
-    except (OSError, TimeoutError) as failed:
-        return Err(ConnectFailed(str(address), str(failed) or 'no answer'))
+    except (OSError, TimeoutError) as connect_error:
+        return Err(
+            ConnectFailed(str(address), str(connect_error) or 'no answer')
+        )
     try:
         async with asyncio.timeout(call.timeout_s):
             if not permit():
                 return Err(NotPermitted(str(address)))
             return Ok(await exchange(reader, writer, address, call))
-    except (OSError, TimeoutError, h11.RemoteProtocolError) as broken:
-        drop_unsent(writer)
-        return Err(AnswerLost(str(address), str(broken) or 'no answer in time'))
+    except (OSError, TimeoutError, h11.RemoteProtocolError) as exchange_error:
+        abort_connection(writer)
+        return Err(
+            AnswerLost(str(address), str(exchange_error) or 'no answer in time')
+        )
     finally:
         writer.close()
 
 
-def drop_unsent(writer: asyncio.StreamWriter) -> None:
+def abort_connection(writer: asyncio.StreamWriter) -> None:
     """Close a connection so that nothing more of it arrives."""
-    raw = writer.get_extra_info('socket')
+    raw_socket = writer.get_extra_info('socket')
     # A connection that the other side has reset is closed already.
     with suppress(OSError):
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, DROP_UNSENT)
+        raw_socket.setsockopt(
+            socket.SOL_SOCKET, socket.SO_LINGER, LINGER_DISCARD
+        )
     writer.transport.abort()
 
 
@@ -169,8 +175,8 @@
                 connection.receive_data(await reader.read(READ_BYTES))
             case h11.Response(status_code=code):
                 status = code
-            case h11.Data(data=part):
-                body.extend(part)
+            case h11.Data(data=chunk):
+                body.extend(chunk)
             case h11.EndOfMessage():
                 return HttpAnswer(status, bytes(body))
             case _:
--- a/godwitshunt/configuration/upkeep.py
+++ b/godwitshunt/configuration/maintenance.py
@@ -10,7 +10,7 @@
     ConfirmManifest,
 )
 from godwitshunt.configuration.document import vm_to_entry
-from godwitshunt.configuration.heard import HeardVms
+from godwitshunt.configuration.heartbeats import HeartbeatTable
 from godwitshunt.configuration.members import is_unchanged, sessions_of
 from godwitshunt.configuration.revision import VmRole
 from godwitshunt.configuration.state import ControlState
@@ -25,9 +25,9 @@
 
 def due_commands(
     state: ControlState,
-    heard: HeardVms,
+    heartbeats: HeartbeatTable,
     seen_at: Mapping[int, float],
-    led_since: float,
+    leading_since: float,
     now: float,
 ) -> Iterator[Command]:
     """Give what the leader should commit now.
@@ -36,30 +36,31 @@
     ----------
     state : ControlState
         As applied.
-    heard : HeardVms
+    heartbeats : HeartbeatTable
         The VMs' heartbeats.
     seen_at : mapping
         When this leader first saw each pending number as committed, in
         monotonic seconds.
-    led_since : float
+    leading_since : float
         When this replica began to lead, in monotonic seconds.
     now : float
         Monotonic seconds.
     """
-    admitted = tuple(
-        one.vm
-        for one in heard.live(now)
-        if state.document.section('vms').get(one.vm.name) != vm_to_entry(one.vm)
+    changed_vms = tuple(
+        heartbeat.vm
+        for heartbeat in heartbeats.live(now)
+        if state.document.section('vms').get(heartbeat.vm.name)
+        != vm_to_entry(heartbeat.vm)
     )
-    absent = absent_vms(state, heard, led_since, now)
-    if admitted or absent:
-        yield ChangeVms(admitted, absent=absent)
-    yield from due_holders(state, heard, now)
+    absent = absent_vms(state, heartbeats, leading_since, now)
+    if changed_vms or absent:
+        yield ChangeVms(changed_vms, absent=absent)
+    yield from due_holders(state, heartbeats, now)
     for number, record in state.numbers.items():
         if record.awaited and not still_awaited(
             state,
             number,
-            heard,
+            heartbeats,
             seen_at.get(number, now),
             now,
         ):
@@ -69,7 +70,7 @@
 def still_awaited(
     state: ControlState,
     number: int,
-    heard: HeardVms,
+    heartbeats: HeartbeatTable,
     seen_at: float,
     now: float,
 ) -> tuple[AwaitedVm, ...]:
@@ -80,13 +81,13 @@
     later proof of a quorum would have brought it the revision.
     """
     record = state.numbers[number]
-    lease_over = now - seen_at > ISOLATION_LEASE_LIMIT_S + CLOCK_MARGIN_S
+    lease_expired = now - seen_at > ISOLATION_LEASE_LIMIT_S + CLOCK_MARGIN_S
     return tuple(
         vm
         for vm in record.awaited
         if is_running(state, vm.name)
-        and not heard.has_applied(vm.name, record.revision)
-        and not (vm.lease_suffices and lease_over)
+        and not heartbeats.has_applied(vm.name, record.revision)
+        and not (vm.lease_suffices and lease_expired)
     )
 
 
@@ -97,8 +98,8 @@
 
 def absent_vms(
     state: ControlState,
-    heard: HeardVms,
-    led_since: float,
+    heartbeats: HeartbeatTable,
+    leading_since: float,
     now: float,
 ) -> tuple[str, ...]:
     """Return the VMs that were silent for long.
@@ -110,24 +111,27 @@
     return tuple(
         name
         for name in state.document.section('vms')
-        if now - max(heard.heard_at(name), led_since) > ABSENT_AFTER_S
+        if now - max(heartbeats.received_at(name), leading_since)
+        > ABSENT_AFTER_S
     )
 
 
 def due_holders(
     state: ControlState,
-    heard: HeardVms,
+    heartbeats: HeartbeatTable,
     now: float,
 ) -> Iterator[ChangeHolders]:
     """Give the claim holders of each region that has to change them."""
     vms = state.document.section('vms').values()
     for region in sorted({vm['region'] for vm in vms}):
         holders = state.document.section('holders').values()
-        own = [entry for entry in holders if entry['region'] == region]
-        current = tuple(own[-1]['names']) if own else ()
-        chosen = choose_holders(state, region, current, heard, now)
+        region_sets = [entry for entry in holders if entry['region'] == region]
+        current = tuple(region_sets[-1]['names']) if region_sets else ()
+        chosen = choose_holders(state, region, current, heartbeats, now)
         sessions = sessions_of(state, chosen)
-        if chosen and not (own and is_unchanged(own[-1], chosen, sessions)):
+        if chosen and not (
+            region_sets and is_unchanged(region_sets[-1], chosen, sessions)
+        ):
             yield ChangeHolders(region, chosen)
 
 
@@ -135,7 +139,7 @@
     state: ControlState,
     region: str,
     current: tuple[str, ...],
-    heard: HeardVms,
+    heartbeats: HeartbeatTable,
     now: float,
 ) -> tuple[str, ...]:
     """Choose a region's claim holders.
@@ -146,17 +150,21 @@
     fewer holders would make a majority easier to lose, not harder.
     """
     vms = state.document.section('vms')
-    here = [vm for vm in vms.values() if vm['region'] == region]
-    kept = [name for name in current if name in vms]
+    region_vms = [vm for vm in vms.values() if vm['region'] == region]
+    retained = [name for name in current if name in vms]
     live = [
         vm['name']
-        for vm in sorted(here, key=holder_rank)
-        if heard.is_live(vm['name'], now) and vm['name'] not in kept
+        for vm in sorted(region_vms, key=holder_rank)
+        if heartbeats.is_live(vm['name'], now) and vm['name'] not in retained
     ]
-    for place, name in enumerate(kept):
-        if live and len(kept) >= MAX_HOLDERS and not heard.is_live(name, now):
-            kept[place] = live.pop(0)
-    return tuple(kept + live[: MAX_HOLDERS - len(kept)])
+    for index, name in enumerate(retained):
+        if (
+            live
+            and len(retained) >= MAX_HOLDERS
+            and not heartbeats.is_live(name, now)
+        ):
+            retained[index] = live.pop(0)
+    return tuple(retained + live[: MAX_HOLDERS - len(retained)])
 
 
 def holder_rank(vm: Mapping) -> tuple[bool, str]:
--- a/godwitshunt/configuration/numbers.py
+++ b/godwitshunt/configuration/manifest_numbers.py
@@ -23,14 +23,14 @@
     DigestMismatch,
     Document,
     DocumentFault,
+    document_from_plain,
     document_of,
     manifest_digest_of,
     pack,
     pack_document,
-    read_plain,
     unpack,
 )
-from godwitshunt.configuration.narrowing import awaited_vms
+from godwitshunt.configuration.region_removals import awaited_vms
 from godwitshunt.configuration.state import (
     NUMBER_WINDOW,
     ControlState,
@@ -58,7 +58,7 @@
 
 def accept_manifest(state: ControlState, command: AcceptManifest) -> Step:
     """Accept a manifest, or answer for the number's first contents."""
-    earlier = earlier_answer(state, command.number, command.digest)
+    earlier = existing_answer(state, command.number, command.digest)
     if earlier is not None:
         return state, earlier
     if command.base_digest not in {'', newest_digest(state)}:
@@ -67,7 +67,7 @@
         case Err(fault):
             return state, ManifestUnreadable(repr(fault))
         case Ok(document):
-            return record_manifest(state, command, document)
+            return activate_manifest(state, command, document)
 
 
 def newest_digest(state: ControlState) -> str:
@@ -76,7 +76,7 @@
     return '' if newest is None else newest.digest
 
 
-def earlier_answer(
+def existing_answer(
     state: ControlState,
     number: int,
     digest: str,
@@ -89,7 +89,7 @@
     """
     known = state.numbers.get(number)
     if known is not None and known.digest == digest:
-        return answer_of(state, number, repeated=True)
+        return current_answer(state, number, repeated=True)
     if number > state.highest_number:
         return None
     if known is None and number <= state.highest_number - NUMBER_WINDOW:
@@ -104,7 +104,7 @@
     )
 
 
-def answer_of(
+def current_answer(
     state: ControlState,
     number: int,
     *,
@@ -135,12 +135,12 @@
         case Err(fault):
             return Err(fault)
         case Ok(fields):
-            read = read_manifest(base, command, fields)
-    if isinstance(read, Ok):
-        found = manifest_digest_of(read.ok_value)
+            decoded = read_manifest(base, command, fields)
+    if isinstance(decoded, Ok):
+        found = manifest_digest_of(decoded.ok_value)
         if found != command.digest:
             return Err(DigestMismatch(command.digest, found))
-    return read
+    return decoded
 
 
 def read_manifest(
@@ -151,7 +151,7 @@
     """Read a whole manifest or a delta, leaving VMs and holders as they are."""
     if command.base_digest:
         return patch(base, fields)
-    whole = read_plain(fields)
+    whole = document_from_plain(fields)
     if isinstance(whole, Err):
         return whole
     document = whole.ok_value
@@ -160,17 +160,17 @@
     return Ok(document)
 
 
-def record_manifest(
+def activate_manifest(
     state: ControlState,
     command: AcceptManifest,
     document: Document,
 ) -> Step:
     """Put an accepted manifest in force and remember its number."""
-    awaited = awaited_now(state, document)
+    awaited = all_awaited_vms(state, document)
     state = state.with_document(document)
     record = NumberRecord(command.digest, state.revision, awaited)
     floor = command.number - NUMBER_WINDOW
-    kept = {
+    retained = {
         number: known
         for number, known in state.numbers.items()
         if number > floor
@@ -178,12 +178,12 @@
     state = replace(
         state,
         highest_number=command.number,
-        numbers={**kept, command.number: record},
+        numbers={**retained, command.number: record},
     )
-    return state, answer_of(state, command.number, repeated=False)
+    return state, current_answer(state, command.number, repeated=False)
 
 
-def awaited_now(
+def all_awaited_vms(
     state: ControlState,
     document: Document,
 ) -> tuple[AwaitedVm, ...]:
@@ -195,8 +195,8 @@
     """
     lease_suffices: dict[str, bool] = {}
     pending = [known.awaited for known in state.numbers.values()]
-    own = awaited_vms(state.document, document, state.absent)
-    for vm in chain(own, *pending):
+    own_awaited = awaited_vms(state.document, document, state.absent)
+    for vm in chain(own_awaited, *pending):
         known = lease_suffices.get(vm.name, True)
         lease_suffices[vm.name] = known and vm.lease_suffices
     return tuple(
@@ -213,4 +213,4 @@
         )
     confirmed = {**state.numbers, number: replace(known, awaited=())}
     state = replace(state, numbers=confirmed)
-    return state, answer_of(state, number, repeated=False)
+    return state, current_answer(state, number, repeated=False)
--- a/godwitshunt/configuration/members.py
+++ b/godwitshunt/configuration/members.py
@@ -7,7 +7,7 @@
 from godwitshunt.configuration.commands import Applied, ChangeVms
 from godwitshunt.configuration.document import vm_to_entry
 from godwitshunt.configuration.state import (
-    KEPT_GENERATIONS,
+    MAX_GENERATIONS,
     ControlState,
     Step,
 )
@@ -16,8 +16,12 @@
 def change_vms(state: ControlState, command: ChangeVms) -> Step:
     """Admit and remove VMs; without a difference the revision stays."""
     before = state.document.section('vms')
-    gone = {*command.removed, *command.absent}
-    after = {name: entry for name, entry in before.items() if name not in gone}
+    removed_names = {*command.removed, *command.absent}
+    after = {
+        name: entry
+        for name, entry in before.items()
+        if name not in removed_names
+    }
     for vm in command.admitted:
         after[vm.name] = vm_to_entry(vm)
     state = replace(state, absent=absent_after(state, command))
@@ -52,19 +56,23 @@
     A VM that restarts has another session and may have forgotten votes; a new
     generation, in which nobody voted yet, lets it vote at once. Keys stay
     bound to the generation that they were stamped under; the last
-    `KEPT_GENERATIONS` stay listed so that their claims can still be found.
+    `MAX_GENERATIONS` stay listed so that their claims can still be found.
     """
     before = state.document.section('holders')
-    own = [entry for entry in before.values() if entry['region'] == region]
+    region_sets = [
+        entry for entry in before.values() if entry['region'] == region
+    ]
     sessions = sessions_of(state, names)
-    if own and is_unchanged(own[-1], names, sessions):
+    if region_sets and is_unchanged(region_sets[-1], names, sessions):
         return state, Applied(state.revision)
-    generation = own[-1]['generation'] + 1 if own else 1
-    dropped = {
+    generation = region_sets[-1]['generation'] + 1 if region_sets else 1
+    dropped_keys = {
         f'{region}.{entry["generation"]}'
-        for entry in own[: 1 - KEPT_GENERATIONS]
+        for entry in region_sets[: 1 - MAX_GENERATIONS]
+    }
+    after = {
+        key: entry for key, entry in before.items() if key not in dropped_keys
     }
-    after = {key: entry for key, entry in before.items() if key not in dropped}
     after[f'{region}.{generation}'] = {
         'region': region,
         'generation': generation,
--- a/godwitshunt/configuration/operator_api.py
+++ b/godwitshunt/configuration/operator_api.py
@@ -16,10 +16,9 @@
     ChangeVms,
     Pending,
 )
-from godwitshunt.configuration.document import MALFORMED
+from godwitshunt.configuration.document import MALFORMED_ERRORS
 from godwitshunt.configuration.explanation import explain, explain_route
 from godwitshunt.configuration.gen.wire import ttypes
-from godwitshunt.configuration.news_wire import require_fields
 from godwitshunt.configuration.operator_http import (
     OperatorAnswer,
     OperatorRequest,
@@ -33,6 +32,7 @@
 )
 from godwitshunt.configuration.service import ConfigurationService
 from godwitshunt.configuration.status import status_document
+from godwitshunt.configuration.update_wire import require_fields
 from godwitshunt.consensus import NotLeader
 from godwitshunt.exceptions import DocumentError
 from godwitshunt.exchange.requests import AnswerWriter, HttpRequest
@@ -49,8 +49,8 @@
 BODY = 'request body'
 PROBLEM_TYPE = 'application/problem+json'
 HTTP_OK = 200
-ACCEPTED_LATER = 202
-NOT_LEADER = 503
+HTTP_ACCEPTED = 202
+HTTP_UNAVAILABLE = 503
 
 
 def answer(document: dict[str, Any], status: int = HTTP_OK) -> OperatorAnswer:
@@ -116,12 +116,12 @@
 
     async def serve(self, request: HttpRequest, writer: AnswerWriter) -> None:
         """Answer one request of the listener."""
-        came = await self.handle(read_request(request))
-        await writer.whole(whole_answer(came))
+        outcome = await self.handle(read_request(request))
+        await writer.whole(whole_answer(outcome))
 
     async def handle(self, request: OperatorRequest) -> OperatorAnswer:
         """Answer one operator's request."""
-        plain = self.plain_answer(request)
+        plain = self.answer_without_token(request)
         if plain is not None:
             return plain
         digest = hashlib.sha256(request.token.encode()).hexdigest()
@@ -134,12 +134,14 @@
 
     async def handle_trusted(self, request: OperatorRequest) -> OperatorAnswer:
         """Answer a request whose sender is known to be an operator."""
-        local = await self.local(request)
-        if local.status == NOT_LEADER:
+        local = await self.answer_locally(request)
+        if local.status == HTTP_UNAVAILABLE:
             return await self.forward(request, local)
         return local
 
-    def plain_answer(self, request: OperatorRequest) -> OperatorAnswer | None:
+    def answer_without_token(
+        self, request: OperatorRequest
+    ) -> OperatorAnswer | None:
         """Answer the paths that need no token."""
         match (request.method, request.path):
             case ('GET', '/metrics'):
@@ -154,11 +156,11 @@
                 leadership = self.service.log.leadership()
                 ready = leadership.name is not None
                 return answer(
-                    {'ready': ready}, HTTP_OK if ready else NOT_LEADER
+                    {'ready': ready}, HTTP_OK if ready else HTTP_UNAVAILABLE
                 )
         return None
 
-    async def local(self, request: OperatorRequest) -> OperatorAnswer:
+    async def answer_locally(self, request: OperatorRequest) -> OperatorAnswer:
         """Answer from this replica."""
         route = self.route(request)
         if route is None:
@@ -200,12 +202,12 @@
                 FORWARD_TIMEOUT_S,
             )
             if isinstance(reply, Ok):
-                passed = decode(ttypes.OperatorReply, reply.ok_value)
-                if passed.status != NOT_LEADER:
-                    kind = PROBLEM_TYPE if passed.status >= 400 else None
+                remote_reply = decode(ttypes.OperatorReply, reply.ok_value)
+                if remote_reply.status != HTTP_UNAVAILABLE:
+                    kind = PROBLEM_TYPE if remote_reply.status >= 400 else None
                     return OperatorAnswer(
-                        passed.status,
-                        passed.body,
+                        remote_reply.status,
+                        remote_reply.body,
                         kind or 'application/json',
                     )
         return local
@@ -228,7 +230,7 @@
         call = decode(ttypes.OperatorCall, body)
         require_fields(call, 'method', 'path', 'body')
         request = OperatorRequest(call.method, call.path, '', call.body)
-        local = await self.local(request)
+        local = await self.answer_locally(request)
         return encode(ttypes.OperatorReply(local.status, local.body))
 
     async def apply(self, request: OperatorRequest) -> OperatorAnswer:
@@ -246,8 +248,10 @@
             return refusal(problem_of(barrier.err_value))
         state = self.service.state
         if not state.highest_number:
-            told = 'no manifest was accepted yet'
-            return refusal(OperatorProblem('not-ready', NOT_LEADER, told))
+            detail = 'no manifest was accepted yet'
+            return refusal(
+                OperatorProblem('not-ready', HTTP_UNAVAILABLE, detail)
+            )
         fields = state.document.manifest_fields()
         return answer({'revision': state.revision, 'manifest': fields})
 
@@ -255,16 +259,16 @@
         """Begin or end the evacuation of a failure domain."""
         name = request.path.removeprefix(EVACUATIONS_PATH)
         begins = request.method == 'PUT'
-        came = await self.service.propose(ChangeEvacuation(name, begins))
-        if isinstance(came, Err):
-            return refusal(problem_of(came.err_value))
-        return answer({'failure_domain': name, **asdict(came.ok_value)})
+        outcome = await self.service.propose(ChangeEvacuation(name, begins))
+        if isinstance(outcome, Err):
+            return refusal(problem_of(outcome.err_value))
+        return answer({'failure_domain': name, **asdict(outcome.ok_value)})
 
-    def manifest_answer(self, came: Ok | Err) -> OperatorAnswer:
+    def manifest_answer(self, committed: Ok | Err) -> OperatorAnswer:
         """Return the answer for a manifest's outcome."""
-        if isinstance(came, Err):
-            return refusal(problem_of(came.err_value))
-        outcome = came.ok_value
+        if isinstance(committed, Err):
+            return refusal(problem_of(committed.err_value))
+        outcome = committed.ok_value
         match outcome:
             case Accepted():
                 return answer({'outcome': 'accepted', **asdict(outcome)})
@@ -275,7 +279,7 @@
                         **asdict(outcome),
                         'waits_for': self.service.waits_for(number),
                     },
-                    ACCEPTED_LATER,
+                    HTTP_ACCEPTED,
                 )
             case _:
                 return refusal(problem_of(outcome))
@@ -285,39 +289,41 @@
         leadership = self.service.log.leadership()
         document = status_document(
             self.service.state,
-            self.service.heard,
+            self.service.heartbeats,
             leadership,
             self.service.timer.now(),
         )
         for part in self.status_parts:
             document |= part()
-        return answer(document, HTTP_OK if leadership.is_leader else NOT_LEADER)
+        return answer(
+            document, HTTP_OK if leadership.is_leader else HTTP_UNAVAILABLE
+        )
 
     async def explain(self, request: OperatorRequest) -> OperatorAnswer:
         """Tell where a caller's request may go, and by which rule."""
         try:
             document = self.explanation(json.loads(request.body))
-        except MALFORMED as bad:
+        except MALFORMED_ERRORS as error:
             return refusal(
-                OperatorProblem('invalid-document', 400, repr(bad)),
+                OperatorProblem('invalid-document', 400, repr(error)),
             )
         return answer(document)
 
-    def explanation(self, asked: dict[str, Any]) -> dict[str, Any]:
+    def explanation(self, query: dict[str, Any]) -> dict[str, Any]:
         """Explain a caller's request of a service, or one of a route."""
-        match asked:
+        match query:
             case {'host': host, 'path': path}:
                 return explain_route(
                     self.service.state,
                     str(host),
                     str(path),
-                    asked.get('organisation'),
+                    query.get('organisation'),
                 )
         return explain(
             self.service.state,
-            str(asked['caller']),
-            str(asked['service']),
-            asked.get('model'),
+            str(query['caller']),
+            str(query['service']),
+            query.get('model'),
         )
 
     async def init(self, request: OperatorRequest) -> OperatorAnswer:
@@ -326,9 +332,9 @@
             return answer({'outcome': 'initialised'})
         if not self.cluster.is_first:
             return refusal(problem_of(NotLeader(None)))
-        made = await self.cluster.initialise()
-        if isinstance(made, Err):
-            return refusal(problem_of(made.err_value))
+        outcome = await self.cluster.initialise()
+        if isinstance(outcome, Err):
+            return refusal(problem_of(outcome.err_value))
         return answer({'outcome': 'initialised', **self.cluster.describe()})
 
     async def replace(self, request: OperatorRequest) -> OperatorAnswer:
@@ -337,7 +343,7 @@
         if self.cluster is None:
             return refusal(problem_of(NotLeader(None)))
         try:
-            asked = parse_document(
+            query = parse_document(
                 BODY,
                 request.body or b'{}',
                 ReplaceRequest,
@@ -345,18 +351,18 @@
             )
         except DocumentError as invalid:
             return refusal(invalid_document(invalid))
-        made = await self.cluster.replace(
+        outcome = await self.cluster.replace(
             path.removesuffix('/replace'),
-            asked.address,
+            query.address,
         )
-        if isinstance(made, Err):
-            return refusal(problem_of(made.err_value))
+        if isinstance(outcome, Err):
+            return refusal(problem_of(outcome.err_value))
         return answer({'outcome': 'replaced', **self.cluster.describe()})
 
     async def remove_vm(self, request: OperatorRequest) -> OperatorAnswer:
         """Take out a VM that the operator knows to have stopped."""
         name = request.path.removeprefix('/v1/vms/').removesuffix('/remove')
-        came = await self.service.propose(ChangeVms(removed=(name,)))
-        if isinstance(came, Err):
-            return refusal(problem_of(came.err_value))
-        return answer({'outcome': 'removed', **asdict(came.ok_value)})
+        outcome = await self.service.propose(ChangeVms(removed=(name,)))
+        if isinstance(outcome, Err):
+            return refusal(problem_of(outcome.err_value))
+        return answer({'outcome': 'removed', **asdict(outcome.ok_value)})
--- a/godwitshunt/configuration/operator_client.py
+++ b/godwitshunt/configuration/operator_client.py
@@ -63,15 +63,17 @@
     is_lost = False
     for address in addresses:
         match await call_http(address, call, tls=tls):
-            case Ok(got) if got.status != UNAVAILABLE:
-                return Ok(OperatorReply(got.status, read_document(got.body)))
-            case Ok(got):
-                reasons.append(f'{address}: {detail_of(got.body)}')
+            case Ok(answer) if answer.status != UNAVAILABLE:
+                return Ok(
+                    OperatorReply(answer.status, read_document(answer.body))
+                )
+            case Ok(answer):
+                reasons.append(f'{address}: {detail_of(answer.body)}')
             case Err(failure):
                 is_lost = is_lost or isinstance(failure, AnswerLost)
                 reasons.append(f'{failure.address}: {failure.reason}')
-    told = tuple(reasons)
-    return Err(OutcomeLost(told) if is_lost else Unreachable(told))
+    failures = tuple(reasons)
+    return Err(OutcomeLost(failures) if is_lost else Unreachable(failures))
 
 
 def read_document(body: bytes) -> dict[str, Any]:
--- a/godwitshunt/configuration/orders.py
+++ b/godwitshunt/configuration/orders.py
@@ -10,7 +10,7 @@
     OrderUnknown,
     Outcome,
 )
-from godwitshunt.configuration.state import KEPT_ORDERS, ControlState, Step
+from godwitshunt.configuration.state import MAX_ORDERS, ControlState, Step
 
 
 def issue_order(state: ControlState, command: IssueOrder) -> Step:
@@ -26,7 +26,7 @@
         state.fencing + 1,
     )
     orders = dict(state.orders)
-    if len(orders) >= KEPT_ORDERS:
+    if len(orders) >= MAX_ORDERS:
         drop_oldest(orders)
     orders[command.order] = issued
     state = replace(
@@ -64,7 +64,7 @@
 
 def repeated_order(known: OrderIssued, command: IssueOrder) -> Outcome:
     """Answer for an order whose name was used before."""
-    first = (known.upstream, known.action, known.subject)
-    if first == (command.upstream, command.action, command.subject):
+    original = (known.upstream, known.action, known.subject)
+    if original == (command.upstream, command.action, command.subject):
         return replace(known, repeated=True)
     return OrderConflict(command.order)
--- a/godwitshunt/configuration/poll_order.py
+++ b/godwitshunt/configuration/poll_order.py
@@ -7,11 +7,11 @@
 from godwitshunt.settings import Address
 
 
-def control_order(
+def control_poll_order(
     current: Revision | None,
     record: VmRecord,
     control: tuple[Address, ...],
-    preferred: Address | None,
+    last_good: Address | None,
 ) -> tuple[Address, ...]:
     """Return control replicas: the own region's, the last good one, the rest.
 
@@ -26,22 +26,22 @@
     preferred : Address or None
         The one that proved a quorum last.
     """
-    own_region = [
+    local = [
         vm.peer
         for vm in region_vms(current, record, VmRole.control)
         if vm.peer in control
     ]
-    last_good = [] if preferred is None else [preferred]
+    preferred = [] if last_good is None else [last_good]
     # Without the turn every VM of a region that has no control replica would
     # speak to the one that the settings name first.
-    turn = crc32(record.name.encode()) % max(1, len(control))
-    turned = (*control[turn:], *control[:turn])
-    return tuple(dict.fromkeys([*own_region, *last_good, *turned]))
+    round_index = crc32(record.name.encode()) % max(1, len(control))
+    rotated = (*control[round_index:], *control[:round_index])
+    return tuple(dict.fromkeys([*local, *preferred, *rotated]))
 
 
 def all_control_addresses(
     current: Revision | None,
-    named: tuple[Address, ...],
+    configured: tuple[Address, ...],
 ) -> tuple[Address, ...]:
     """Return the control replicas that settings name and that are listed.
 
@@ -50,29 +50,29 @@
     """
     listed = () if current is None else current.vms
     peers = [vm.peer for vm in listed if vm.role is VmRole.control]
-    return tuple(dict.fromkeys((*named, *peers)))
+    return tuple(dict.fromkeys((*configured, *peers)))
 
 
-def peer_order(
+def peer_poll_order(
     current: Revision | None,
     record: VmRecord,
-    named: tuple[Address, ...],
-    turn: int,
+    configured: tuple[Address, ...],
+    round_index: int,
 ) -> tuple[Address, ...]:
     """Return the region's VMs, beginning with another one at each turn.
 
     Parameters
     ----------
-    named : tuple of Address
+    configured : tuple of Address
         Peers that the settings name, for a start without a revision.
     """
-    known = [vm.peer for vm in region_vms(current, record, VmRole.entry)]
+    listed = [vm.peer for vm in region_vms(current, record, VmRole.entry)]
     peers = [
         address
-        for address in dict.fromkeys([*known, *named])
+        for address in dict.fromkeys([*listed, *configured])
         if address != record.peer
     ]
-    start = turn % len(peers) if peers else 0
+    start = round_index % len(peers) if peers else 0
     return tuple(peers[start:] + peers[:start])
 
 
--- a/godwitshunt/configuration/narrowing.py
+++ b/godwitshunt/configuration/region_removals.py
@@ -14,18 +14,18 @@
 
 
 @dataclass(frozen=True)
-class Narrowing:
+class RegionRemoval:
     """A region that a caller or a model loses.
 
     Parameters
     ----------
-    isolated_serves : bool
+    serves_while_isolated : bool
         True where a VM of that region would by the older rule serve the
         caller also while it is isolated.
     """
 
     region: str
-    isolated_serves: bool
+    serves_while_isolated: bool
 
 
 def awaited_vms(
@@ -41,9 +41,9 @@
         Region of each VM that was silent for long and may be cut off.
     """
     lost: dict[str, bool] = {}
-    for narrowing in narrowings(before, after):
-        isolated = lost.get(narrowing.region, False)
-        lost[narrowing.region] = isolated or narrowing.isolated_serves
+    for removal in region_removals(before, after):
+        isolated = lost.get(removal.region, False)
+        lost[removal.region] = isolated or removal.serves_while_isolated
     entries = {
         vm['name']: vm['region']
         for vm in before.section('vms').values()
@@ -56,21 +56,23 @@
     )
 
 
-def narrowings(before: Document, after: Document) -> Iterator[Narrowing]:
+def region_removals(
+    before: Document, after: Document
+) -> Iterator[RegionRemoval]:
     """Give every region that a caller or a model loses."""
-    yield from caller_narrowings(before, after)
+    yield from caller_removals(before, after)
     for name, model in before.section('models').items():
         later = after.section('models').get(name)
         if later is not None:
             lost = model_regions(before, model) - model_regions(after, later)
             for region in sorted(lost):
-                yield Narrowing(region, isolated_serves=True)
+                yield RegionRemoval(region, serves_while_isolated=True)
 
 
-def caller_narrowings(
+def caller_removals(
     before: Document,
     after: Document,
-) -> Iterator[Narrowing]:
+) -> Iterator[RegionRemoval]:
     """Give the regions that callers lose, once for each kind of change."""
     old_rules = rule_regions(before)
     new_rules = rule_regions(after)
@@ -82,7 +84,7 @@
     }
     for old_rule, new_rule, home in changes:
         for region in old_rules[old_rule] - new_rules[new_rule]:
-            yield Narrowing(region, old_rule is None or home == region)
+            yield RegionRemoval(region, old_rule is None or home == region)
 
 
 def rule_regions(document: Document) -> dict[str | None, frozenset[str]]:
--- a/godwitshunt/configuration/revision.py
+++ b/godwitshunt/configuration/revision.py
@@ -94,4 +94,4 @@
     evacuated: frozenset[str] = frozenset()
 
 
-RevisionNotice = Callable[[Revision], None]
+RevisionCallback = Callable[[Revision], None]
--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -20,28 +20,28 @@
 )
 from godwitshunt.configuration.freshness_task import FreshnessTask
 from godwitshunt.configuration.gen.wire import ttypes
-from godwitshunt.configuration.heard import HeardVm, HeardVms
+from godwitshunt.configuration.heartbeats import HeartbeatRecord, HeartbeatTable
 from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
-from godwitshunt.configuration.news_wire import (
-    require_fields,
-    vm_from_wire,
-    vm_to_wire,
+from godwitshunt.configuration.maintenance import (
+    ABSENT_AFTER_S,
+    due_commands,
+    still_awaited,
 )
-from godwitshunt.configuration.numbers import accept_command
+from godwitshunt.configuration.manifest_numbers import accept_command
 from godwitshunt.configuration.replicated_log import ReplicatedLog
 from godwitshunt.configuration.revision import (
     Revision,
-    RevisionNotice,
+    RevisionCallback,
     VmRecord,
     VmRole,
 )
 from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.state import ControlState
 from godwitshunt.configuration.state_machine import StateMachine
-from godwitshunt.configuration.upkeep import (
-    ABSENT_AFTER_S,
-    due_commands,
-    still_awaited,
+from godwitshunt.configuration.update_wire import (
+    require_fields,
+    vm_from_wire,
+    vm_to_wire,
 )
 from godwitshunt.consensus import ProposalFailure
 from godwitshunt.exceptions import StorageError
@@ -51,10 +51,10 @@
 from godwitshunt.telemetry import Metrics, log_change
 from godwitshunt.timer import Timer
 
-UPKEEP_PERIOD_S = 0.5
+MAINTENANCE_PERIOD_S = 0.5
 REPORT_PERIOD_S = 1.0
 PUSH_DELAY_S = 0.05
-BASE_TRIES = 3
+MAX_ACCEPT_ATTEMPTS = 3
 
 
 class ConfigurationService:
@@ -90,22 +90,22 @@
     ) -> None:
         self.revision_file = revision_file
         self.record = record
-        self.named_others = others
+        self.configured_others = others
         self.log = log
         self.links = links
         self.timer = timer
         self.metrics = metrics
         self.machine = StateMachine(log)
         self.history = RevisionHistory()
-        self.heard = HeardVms()
+        self.heartbeats = HeartbeatTable()
         self.pending_seen_at: dict[int, float] = {}
         self.background = BackgroundTasks()
         self.subscriptions = []
-        self.push_due = False
-        self.refresh_due = False
+        self.push_scheduled = False
+        self.refresh_scheduled = False
         self.freshness = FreshnessTask(self.machine, links, timer)
-        self.led_since = timer.now()
-        self.subscribers: list[RevisionNotice] = []
+        self.leading_since = timer.now()
+        self.subscribers: list[RevisionCallback] = []
         self.newest: Revision | None = None
 
     @classmethod
@@ -131,7 +131,7 @@
 
     def set_control_addresses(self, control: tuple[Address, ...]) -> None:
         """Know other control replicas from now on, as settings name them."""
-        self.named_others = control
+        self.configured_others = control
 
     @property
     def others(self) -> tuple[Address, ...]:
@@ -142,8 +142,10 @@
             for vm in vms
             if vm['role'] == VmRole.control.value
         ]
-        known = dict.fromkeys((*self.named_others, *listed))
-        return tuple(one for one in known if one != self.record.peer)
+        known = dict.fromkeys((*self.configured_others, *listed))
+        return tuple(
+            address for address in known if address != self.record.peer
+        )
 
     @property
     def state(self) -> ControlState:
@@ -152,14 +154,14 @@
 
     def start(self) -> None:
         """Follow the log, take heartbeats, and begin upkeep."""
-        self.take_kept()
+        self.restore_revision()
         self.machine.subscribe(self.on_state)
         self.machine.start()
         self.links.subscribe(MessageKind.vm_heartbeat, self.on_heartbeat)
         self.links.subscribe(MessageKind.configuration_applied, self.on_reports)
         self.freshness.start()
         self.subscriptions = [
-            self.timer.every(UPKEEP_PERIOD_S, self.begin_maintenance),
+            self.timer.every(MAINTENANCE_PERIOD_S, self.begin_maintenance),
             self.timer.every(REPORT_PERIOD_S, self.send_reports),
         ]
 
@@ -176,7 +178,7 @@
     ) -> Result[ManifestOutcome, ProposalFailure]:
         """Commit a manifest and return what became of it."""
         answer: Result[Outcome, ProposalFailure] = Ok(BaseChanged())
-        for _ in range(BASE_TRIES):
+        for _ in range(MAX_ACCEPT_ATTEMPTS):
             answer = await self.propose(accept_command(self.state, manifest))
             if answer != Ok(BaseChanged()):
                 break
@@ -210,7 +212,9 @@
         """Return the VMs that a pending number's acceptance waits for."""
         now = self.timer.now()
         seen_at = self.pending_seen_at.get(number, now)
-        awaited = still_awaited(self.state, number, self.heard, seen_at, now)
+        awaited = still_awaited(
+            self.state, number, self.heartbeats, seen_at, now
+        )
         return [vm.name for vm in awaited]
 
     def on_state(self, state: ControlState) -> None:
@@ -220,14 +224,14 @@
         a replica that restarts replays hundreds, and one revision after the
         other would keep it from answering for long.
         """
-        self.note_pending(state)
-        if not self.refresh_due:
-            self.refresh_due = True
+        self.record_pending(state)
+        if not self.refresh_scheduled:
+            self.refresh_scheduled = True
             self.timer.after(0, self.refresh)
 
     def refresh(self) -> None:
         """Keep the newest document and arrange that VMs are told."""
-        self.refresh_due = False
+        self.refresh_scheduled = False
         state = self.state
         newest = self.history.newest
         if newest is not None and newest.revision >= state.revision:
@@ -235,34 +239,38 @@
         if not state.highest_number:
             return
         document = state.document.without_origin()
-        held = DocumentRevision(state.revision, digest_of(document), document)
-        self.history.add(held)
-        self.publish(held)
+        committed = DocumentRevision(
+            state.revision, digest_of(document), document
+        )
+        self.history.add(committed)
+        self.publish(committed)
         if self.revision_file is not None:
-            self.background.run('keep', self.keep)
-        self.metrics.gauge('configuration_revision', held.revision)
+            self.background.run('keep', self.persist)
+        self.metrics.gauge('configuration_revision', committed.revision)
         log_change(
             'configuration:revision_committed',
-            revision=held.revision,
+            revision=committed.revision,
             number=state.highest_number,
-            digest=held.digest,
+            digest=committed.digest,
         )
-        if not self.push_due:
-            self.push_due = True
+        if not self.push_scheduled:
+            self.push_scheduled = True
             self.timer.after(PUSH_DELAY_S, self.push)
 
-    def take_kept(self) -> None:
+    def restore_revision(self) -> None:
         """Tell VMs of the revision on disk until the log says more.
 
         After a restart of all replicas nothing counts as committed until one
         of them leads; what was committed before then is known to be.
         """
-        held = None if self.revision_file is None else self.revision_file.read()
-        if held is not None:
-            self.history.add(held)
-            log_change('configuration:kept_taken', revision=held.revision)
+        committed = (
+            None if self.revision_file is None else self.revision_file.read()
+        )
+        if committed is not None:
+            self.history.add(committed)
+            log_change('configuration:kept_taken', revision=committed.revision)
 
-    async def keep(self) -> None:
+    async def persist(self) -> None:
         """Write the newest revision to the disk; a failure is only logged.
 
         It is a copy of what the log holds; without it a restart of all
@@ -273,36 +281,36 @@
             written = self.history.newest
             try:
                 await asyncio.to_thread(self.revision_file.write, written)
-            except StorageError as failed:
+            except StorageError as error:
                 self.metrics.count('configuration_keep_failed_total')
-                log_change('configuration:keep_failed', reason=failed.reason)
+                log_change('configuration:keep_failed', reason=error.reason)
                 return
 
-    def subscribe(self, notice: RevisionNotice) -> None:
+    def subscribe(self, callback: RevisionCallback) -> None:
         """Tell of each revision that this replica applies from now on."""
-        self.subscribers.append(notice)
+        self.subscribers.append(callback)
 
-    def publish(self, held: DocumentRevision) -> None:
+    def publish(self, committed: DocumentRevision) -> None:
         """Tell the parts of this process of a newer revision."""
         if not self.subscribers:
             return
-        revision = revision_of(held.revision, held.document)
-        for notice in self.subscribers:
-            notice(revision)
+        revision = revision_of(committed.revision, committed.document)
+        for callback in self.subscribers:
+            callback(revision)
 
     def newest_revision(self) -> Revision | None:
         """Return the newest committed revision; None before the first.
 
         After a restart this is the one on disk until the log says more.
         """
-        held = self.history.newest
-        if held is None:
+        committed = self.history.newest
+        if committed is None:
             return None
-        if self.newest is None or self.newest.revision != held.revision:
-            self.newest = revision_of(held.revision, held.document)
+        if self.newest is None or self.newest.revision != committed.revision:
+            self.newest = revision_of(committed.revision, committed.document)
         return self.newest
 
-    def note_pending(self, state: ControlState) -> None:
+    def record_pending(self, state: ControlState) -> None:
         """Remember since when each pending number is seen as committed."""
         now = self.timer.now()
         self.pending_seen_at = {
@@ -313,15 +321,15 @@
 
     def push(self) -> None:
         """Tell the VMs that speak to this replica of the newest revision."""
-        self.push_due = False
-        for one in self.heard.direct(self.timer.now()):
-            if one.vm.name == self.record.name:
+        self.push_scheduled = False
+        for heartbeat in self.heartbeats.direct(self.timer.now()):
+            if heartbeat.vm.name == self.record.name:
                 continue
-            news = self.history.make_update(one.revision, float('inf'))
+            update = self.history.make_update(heartbeat.revision, float('inf'))
             self.links.tell(
-                one.vm.peer,
+                heartbeat.vm.peer,
                 MessageKind.configuration_news,
-                encode(news),
+                encode(update),
             )
             self.metrics.count('configuration_pushes_total')
 
@@ -331,45 +339,49 @@
         vm = self.heartbeat_vm(heartbeat)
         revision = heartbeat.revision or 0
         if vm is not None:
-            self.heard.hear(HeardVm(vm, revision, self.timer.now()))
+            self.heartbeats.record(
+                HeartbeatRecord(vm, revision, self.timer.now())
+            )
         self.metrics.count('configuration_heartbeats_total')
         # The proof below covers every entry that is applied; so must the news.
         self.refresh()
-        news = self.history.make_update(revision, self.freshness.quorum_age_s())
-        news.introduce = vm is None
-        return encode(news)
+        update = self.history.make_update(
+            revision, self.freshness.quorum_age_s()
+        )
+        update.introduce = vm is None
+        return encode(update)
 
     def heartbeat_vm(self, heartbeat: ttypes.VmHeartbeat) -> VmRecord | None:
         """Return who sent a heartbeat; None for a stranger without record."""
         if heartbeat.vm is not None:
             return vm_from_wire(heartbeat.vm)
-        known = self.heard.by_name.get(heartbeat.name)
+        known = self.heartbeats.by_name.get(heartbeat.name)
         if known is None or known.vm.session != heartbeat.session:
             return None
         return known.vm
 
     def begin_maintenance(self) -> None:
         """Commit what is due, where this replica leads."""
-        self.heard.hear(
-            HeardVm(self.record, self.state.revision, self.timer.now()),
+        self.heartbeats.record(
+            HeartbeatRecord(self.record, self.state.revision, self.timer.now()),
         )
         now = self.timer.now()
-        self.heard.forget(now - ABSENT_AFTER_S)
+        self.heartbeats.expire(now - ABSENT_AFTER_S)
         if not self.log.leadership().is_leader:
-            self.led_since = now
+            self.leading_since = now
             return
-        self.background.run('upkeep', self.upkeep)
+        self.background.run('upkeep', self.run_maintenance)
 
-    async def upkeep(self) -> None:
+    async def run_maintenance(self) -> None:
         """Commit admissions, claim holders and confirmations."""
-        due = due_commands(
+        commands = due_commands(
             self.state,
-            self.heard,
+            self.heartbeats,
             self.pending_seen_at,
-            self.led_since,
+            self.leading_since,
             self.timer.now(),
         )
-        for command in tuple(due):
+        for command in tuple(commands):
             if isinstance(await self.propose(command), Err):
                 return
 
@@ -378,13 +390,15 @@
         now = self.timer.now()
         committed = self.state.document.section('vms')
         reports = []
-        for one in self.heard.direct(now):
-            is_known = committed.get(one.vm.name) == vm_to_entry(one.vm)
+        for heartbeat in self.heartbeats.direct(now):
+            is_known = committed.get(heartbeat.vm.name) == vm_to_entry(
+                heartbeat.vm
+            )
             report = ttypes.VmReport(
-                name=one.vm.name,
-                revision=one.revision,
-                age_s=now - one.heard_at,
-                vm=None if is_known else vm_to_wire(one.vm),
+                name=heartbeat.vm.name,
+                revision=heartbeat.revision,
+                age_s=now - heartbeat.received_at,
+                vm=None if is_known else vm_to_wire(heartbeat.vm),
             )
             reports.append(report)
         body = encode(ttypes.VmReports(reports=reports))
@@ -398,9 +412,11 @@
             require_fields(report, 'name', 'revision', 'age_s')
             vm = self.reported_vm(report)
             if vm is not None:
-                heard_at = now - report.age_s
-                self.heard.hear(
-                    HeardVm(vm, report.revision, heard_at, direct=False),
+                received_at = now - report.age_s
+                self.heartbeats.record(
+                    HeartbeatRecord(
+                        vm, report.revision, received_at, direct=False
+                    ),
                 )
 
     def reported_vm(self, report: ttypes.VmReport) -> VmRecord | None:
--- a/godwitshunt/configuration/state.py
+++ b/godwitshunt/configuration/state.py
@@ -11,8 +11,8 @@
 from godwitshunt.configuration.document import Document
 
 NUMBER_WINDOW = 4096
-KEPT_GENERATIONS = 8
-KEPT_ORDERS = 1024
+MAX_GENERATIONS = 8
+MAX_ORDERS = 1024
 
 
 @dataclass(frozen=True)
@@ -49,7 +49,7 @@
     fencing : int
         The last fencing number that was given out.
     orders : mapping
-        The last `KEPT_ORDERS` orders by name.
+        The last `MAX_ORDERS` orders by name.
     weight_units : int
         Units ever taken from the weight store's bucket.
     """
--- a/godwitshunt/configuration/state_machine.py
+++ b/godwitshunt/configuration/state_machine.py
@@ -19,7 +19,7 @@
 from godwitshunt.exceptions import StorageError
 from godwitshunt.telemetry import log_change
 
-Notice = Callable[[ControlState], None]
+StateCallback = Callable[[ControlState], None]
 APPLY_TIMEOUT_S = 5.0
 
 
@@ -35,32 +35,34 @@
     def __init__(self, log: ReplicatedLog) -> None:
         self.log = log
         self.state = ControlState()
-        self.waiting: dict[str, asyncio.Future[Outcome]] = {}
-        self.subscribers: list[Notice] = []
+        self.pending: dict[str, asyncio.Future[Outcome]] = {}
+        self.subscribers: list[StateCallback] = []
 
     def start(self) -> None:
         """Follow the log."""
-        self.log.subscribe(self.apply, self.take, self.install)
+        self.log.subscribe(
+            self.apply, self.take_snapshot, self.install_snapshot
+        )
 
-    def subscribe(self, notice: Notice) -> None:
+    def subscribe(self, callback: StateCallback) -> None:
         """Tell of each state that a committed entry leads to."""
-        self.subscribers.append(notice)
+        self.subscribers.append(callback)
 
     def apply(self, index: int, term: int, payload: bytes) -> None:
         """Apply a committed entry and answer who proposed it."""
         proposal, command = decode_command(payload)
         state, outcome = apply_command(self.state, command)
         self.state = state
-        waiting = self.waiting.get(proposal)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(outcome)
-        self.tell()
+        pending = self.pending.get(proposal)
+        if pending is not None and not pending.done():
+            pending.set_result(outcome)
+        self.notify_subscribers()
 
-    def take(self) -> bytes:
+    def take_snapshot(self) -> bytes:
         """Return the state for a snapshot."""
         return pack_state(self.state)
 
-    def install(self, snapshot: bytes) -> None:
+    def install_snapshot(self, snapshot: bytes) -> None:
         """Take over the state of a snapshot.
 
         Raises
@@ -74,13 +76,13 @@
                 raise StorageError('snapshot', repr(fault))
             case Ok(state):
                 self.state = state
-        self.tell()
+        self.notify_subscribers()
 
-    def tell(self) -> None:
+    def notify_subscribers(self) -> None:
         """Tell every part of the state; one that fails ends no other."""
-        for notice in self.subscribers:
+        for callback in self.subscribers:
             try:
-                notice(self.state)
+                callback(self.state)
             except Exception as fault:
                 log_change('configuration:notice_failed', fault=repr(fault))
 
@@ -96,14 +98,14 @@
         """
         proposal, payload = encode_command(command)
         apply_command(self.state, decode_command(payload)[1])
-        waiting: asyncio.Future[Outcome] = asyncio.Future()
-        self.waiting[proposal] = waiting
+        pending: asyncio.Future[Outcome] = asyncio.Future()
+        self.pending[proposal] = pending
         try:
             committed = await self.log.propose(payload)
             if isinstance(committed, Err):
                 return Err(committed.err_value)
-            return Ok(await asyncio.wait_for(waiting, APPLY_TIMEOUT_S))
+            return Ok(await asyncio.wait_for(pending, APPLY_TIMEOUT_S))
         except TimeoutError:
             return Err(CommitUnknown('committed, not applied in time'))
         finally:
-            self.waiting.pop(proposal)
+            self.pending.pop(proposal)
--- a/godwitshunt/configuration/status.py
+++ b/godwitshunt/configuration/status.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from godwitshunt.configuration.heard import HeardVms
+from godwitshunt.configuration.heartbeats import HeartbeatTable
 from godwitshunt.configuration.state import ControlState
 from godwitshunt.consensus import Leadership
 
@@ -13,13 +13,13 @@
 
 def status_document(
     state: ControlState,
-    heard: HeardVms,
+    heartbeats: HeartbeatTable,
     leadership: Leadership,
     now: float,
 ) -> dict[str, Any]:
     """Return the status as JSON fields; durations are in seconds."""
     vms = {
-        name: vm_status(state, heard, name, now)
+        name: vm_status(state, heartbeats, name, now)
         for name in state.document.section('vms')
     }
     return {
@@ -38,16 +38,16 @@
 
 def vm_status(
     state: ControlState,
-    heard: HeardVms,
+    heartbeats: HeartbeatTable,
     name: str,
     now: float,
 ) -> dict[str, Any]:
     """Return what is known of one VM."""
     entry = state.document.section('vms')[name]
-    one = heard.by_name.get(name)
-    if one is None or not heard.is_live(name, now):
+    heartbeat = heartbeats.by_name.get(name)
+    if heartbeat is None or not heartbeats.is_live(name, now):
         condition = SILENT
-    elif one.revision < state.revision:
+    elif heartbeat.revision < state.revision:
         condition = LAGGING
     else:
         condition = IN_FORCE
@@ -55,8 +55,10 @@
         'region': entry['region'],
         'role': entry['role'],
         'condition': condition,
-        'revision': 0 if one is None else one.revision,
-        'heard_s_ago': None if one is None else now - one.heard_at,
+        'revision': 0 if heartbeat is None else heartbeat.revision,
+        'heard_s_ago': None
+        if heartbeat is None
+        else now - heartbeat.received_at,
     }
 
 
--- a/godwitshunt/configuration/sync_state.py
+++ b/godwitshunt/configuration/sync_state.py
@@ -64,36 +64,36 @@
 
 
 @dataclass(frozen=True)
-class NothingNewer:
+class NoNewerRevision:
     """The news held nothing that is higher than what is in force."""
 
 
 @dataclass(frozen=True)
-class NewsRefused:
+class UpdateRejected:
     """The news could not be applied; the whole document is asked for."""
 
     fault: DocumentFault
 
 
-NewsOutcome = RevisionApplied | NothingNewer | NewsRefused
+UpdateOutcome = RevisionApplied | NoNewerRevision | UpdateRejected
 
 
 def apply_update(
     sync_state: SyncState,
-    news: ConfigurationNews,
-    asked_at: float | None,
+    update: ConfigurationNews,
+    requested_at: float | None,
     *,
     from_peer: bool = False,
-) -> tuple[SyncState, NewsOutcome]:
+) -> tuple[SyncState, UpdateOutcome]:
     """Apply a reply or a push.
 
     Parameters
     ----------
     sync_state : SyncState
         What the VM holds.
-    news : ConfigurationNews
+    update : ConfigurationNews
         From a control replica or a peer.
-    asked_at : float or None
+    requested_at : float or None
         When the call that this answers was sent, in monotonic seconds. None
         for a push: its delay on the way is unknown, so it proves no quorum.
     from_peer : bool
@@ -107,29 +107,31 @@
     before that proof, also where the proof came through a peer.
     """
     latest = sync_state.latest
-    if latest is not None and news.revision <= latest.revision:
-        return proven(sync_state, news, asked_at), NothingNewer()
-    if not news.revision or not may_begin(
-        sync_state, news, asked_at, from_peer
+    if latest is not None and update.revision <= latest.revision:
+        return with_proof(sync_state, update, requested_at), NoNewerRevision()
+    if not update.revision or not may_start_with(
+        sync_state, update, requested_at, from_peer
     ):
-        return sync_state, NothingNewer()
-    match read_news(latest, news):
+        return sync_state, NoNewerRevision()
+    match decode_document(latest, update):
         case Err(fault):
-            return replace(sync_state, needs_full_document=True), NewsRefused(
-                fault
-            )
+            return replace(
+                sync_state, needs_full_document=True
+            ), UpdateRejected(fault)
         case Ok(document):
-            newer = DocumentRevision(news.revision, news.digest, document)
+            newer = DocumentRevision(update.revision, update.digest, document)
             sync_state = replace(
                 sync_state, latest=newer, needs_full_document=False
             )
-            return proven(sync_state, news, asked_at), RevisionApplied(newer)
+            return with_proof(
+                sync_state, update, requested_at
+            ), RevisionApplied(newer)
 
 
-def may_begin(
+def may_start_with(
     sync_state: SyncState,
-    news: ConfigurationNews,
-    asked_at: float | None,
+    update: ConfigurationNews,
+    requested_at: float | None,
     from_peer: bool,
 ) -> bool:
     """Tell whether a VM without a revision may begin with this one.
@@ -142,50 +144,50 @@
     """
     if sync_state.latest is not None or from_peer:
         return True
-    if asked_at is None:
+    if requested_at is None:
         return False
-    if asked_at - sync_state.started_at >= sync_state.unproven_after_s:
+    if requested_at - sync_state.started_at >= sync_state.unproven_after_s:
         return True
-    if news.quorum_age_s < 0:
+    if update.quorum_age_s < 0:
         return False
-    return asked_at - news.quorum_age_s >= sync_state.started_at
+    return requested_at - update.quorum_age_s >= sync_state.started_at
 
 
-def proven(
+def with_proof(
     sync_state: SyncState,
-    news: ConfigurationNews,
-    asked_at: float | None,
+    update: ConfigurationNews,
+    requested_at: float | None,
 ) -> SyncState:
     """Note the proof of a quorum that came with the news."""
-    if asked_at is None or news.quorum_age_s < 0:
+    if requested_at is None or update.quorum_age_s < 0:
         return sync_state
-    proof_at = max(sync_state.proof_at, asked_at - news.quorum_age_s)
+    proof_at = max(sync_state.proof_at, requested_at - update.quorum_age_s)
     return replace(sync_state, proof_at=proof_at)
 
 
-def read_news(
+def decode_document(
     latest: DocumentRevision | None,
-    news: ConfigurationNews,
+    update: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
     """Return the document that the news leads to, its digest checked."""
-    read = read_body(latest, news)
-    if isinstance(read, Ok):
-        found = digest_of(read.ok_value)
-        if found != news.digest:
-            return Err(DigestMismatch(news.digest, found))
-    return read
+    decoded = decode_body(latest, update)
+    if isinstance(decoded, Ok):
+        found = digest_of(decoded.ok_value)
+        if found != update.digest:
+            return Err(DigestMismatch(update.digest, found))
+    return decoded
 
 
-def read_body(
+def decode_body(
     latest: DocumentRevision | None,
-    news: ConfigurationNews,
+    update: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
     """Read the whole document, or the delta over the held one."""
-    if not news.base_digest:
-        return unpack_document(news.body)
+    if not update.base_digest:
+        return unpack_document(update.body)
     found = '' if latest is None else latest.digest
-    if latest is None or found != news.base_digest:
-        return Err(DigestMismatch(news.base_digest, found))
-    return unpack(news.body).and_then(
+    if latest is None or found != update.base_digest:
+        return Err(DigestMismatch(update.base_digest, found))
+    return unpack(update.body).and_then(
         lambda delta: patch(latest.document, delta)
     )
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -15,28 +15,31 @@
     DocumentMalformed,
     revision_of,
 )
-from godwitshunt.configuration.first_replies import FirstReplies, Told
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
-from godwitshunt.configuration.news_wire import decode_news, vm_to_wire
+from godwitshunt.configuration.initial_replies import (
+    InitialReplies,
+    UpdateReply,
+)
 from godwitshunt.configuration.poll_order import (
     all_control_addresses,
-    control_order,
-    peer_order,
+    control_poll_order,
+    peer_poll_order,
 )
 from godwitshunt.configuration.revision import (
     Revision,
-    RevisionNotice,
+    RevisionCallback,
     VmRecord,
 )
 from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.sync_state import (
-    NewsOutcome,
-    NewsRefused,
     RevisionApplied,
     SyncState,
+    UpdateOutcome,
+    UpdateRejected,
     apply_update,
 )
+from godwitshunt.configuration.update_wire import decode_update, vm_to_wire
 from godwitshunt.exceptions import FrameError, StorageError
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address, NodeSettings
@@ -49,12 +52,12 @@
 HEARTBEAT_JITTER_S = 0.2
 CALL_TIMEOUT_S = 0.5
 # Newer news is asked for out of turn so often at most.
-ASK_AGAIN_S = 0.05
+MIN_POLL_INTERVAL_S = 0.05
 # Until it has a revision a VM serves nobody, so it asks more often.
-FIRST_PERIOD_S = 0.1
+STARTUP_POLL_PERIOD_S = 0.1
 # A replica whose own proof is older than this is asked no further: another
 # one may be in touch with the quorum.
-FRESH_PROOF_S = 1.5
+MAX_PROOF_AGE_S = 1.5
 
 
 @dataclass(frozen=True)
@@ -125,15 +128,15 @@
         self.sync_state = SyncState()
         self.current: Revision | None = None
         self.history = RevisionHistory()
-        self.subscribers: list[RevisionNotice] = []
-        self.first = FirstReplies()
+        self.subscribers: list[RevisionCallback] = []
+        self.initial_replies = InitialReplies()
         self.background = BackgroundTasks()
         self.closed = False
         self.lock = asyncio.Lock()
-        self.preferred: Address | None = None
-        self.peer_turn = 0
+        self.last_good: Address | None = None
+        self.peer_round = 0
         self.sends_record = True
-        self.asked_s = float('-inf')
+        self.polled_at_s = float('-inf')
         # Spreads heartbeats over time; nothing is decided by it.
         self.jitter = random.Random(record.name)
 
@@ -177,8 +180,8 @@
                 unproven_after_s=self.unlisted.unproven_after_s,
             )
         if self.revision_file is not None:
-            self.take_kept(self.revision_file)
-        self.links.subscribe(MessageKind.configuration_news, self.on_news)
+            self.restore_revision(self.revision_file)
+        self.links.subscribe(MessageKind.configuration_news, self.on_update)
         self.links.subscribe(MessageKind.configuration_fetch, self.on_fetch)
         self.begin_heartbeat()
 
@@ -187,9 +190,9 @@
         self.closed = True
         await self.background.close()
 
-    def subscribe(self, notice: RevisionNotice) -> None:
+    def subscribe(self, callback: RevisionCallback) -> None:
         """Tell of each revision that comes into force from now on."""
-        self.subscribers.append(notice)
+        self.subscribers.append(callback)
 
     def set_control_addresses(self, control: tuple[Address, ...]) -> None:
         """Ask other control replicas from now on, as settings name them."""
@@ -207,7 +210,7 @@
         """True where the revision in force lists this VM."""
         return self.current is not None and self.record in self.current.vms
 
-    def take_kept(self, revision_file: RevisionFile) -> None:
+    def restore_revision(self, revision_file: RevisionFile) -> None:
         """Put the revision on disk in force, without proof of a quorum."""
         latest = revision_file.read()
         if latest is None:
@@ -222,13 +225,13 @@
         if self.closed:
             return
         if self.current is None and self.unlisted is not None:
-            self.ask_all()
+            self.poll_all_control()
         else:
-            self.background.run('heartbeat', self.ask)
-        spread = self.jitter.uniform(-HEARTBEAT_JITTER_S, HEARTBEAT_JITTER_S)
-        period_s = HEARTBEAT_PERIOD_S + spread
+            self.background.run('heartbeat', self.poll)
+        jitter_s = self.jitter.uniform(-HEARTBEAT_JITTER_S, HEARTBEAT_JITTER_S)
+        period_s = HEARTBEAT_PERIOD_S + jitter_s
         if self.current is None:
-            period_s = FIRST_PERIOD_S
+            period_s = STARTUP_POLL_PERIOD_S
         self.timer.after(period_s, self.begin_heartbeat)
 
     async def poll_now(self) -> None:
@@ -237,34 +240,34 @@
         Where that is under way already, that answer is waited for. Callers
         with wrong keys must not make this VM ask without end.
         """
-        if self.timer.now() - self.asked_s > ASK_AGAIN_S:
-            self.background.run('heartbeat', self.ask)
+        if self.timer.now() - self.polled_at_s > MIN_POLL_INTERVAL_S:
+            self.background.run('heartbeat', self.poll)
         await self.background.wait('heartbeat')
 
-    async def ask(self) -> None:
+    async def poll(self) -> None:
         """Ask control replicas until one proves a quorum, else a peer."""
-        self.asked_s = self.timer.now()
-        for address in control_order(
+        self.polled_at_s = self.timer.now()
+        for address in control_poll_order(
             self.current,
             self.record,
             all_control_addresses(self.current, self.control),
-            self.preferred,
+            self.last_good,
         ):
             if await self.poll_one(address, MessageKind.vm_heartbeat):
-                self.preferred = address
+                self.last_good = address
                 return
-        self.preferred = None
-        self.peer_turn += 1
-        for peer in peer_order(
+        self.last_good = None
+        self.peer_round += 1
+        for peer in peer_poll_order(
             self.current,
             self.record,
             self.peers,
-            self.peer_turn,
+            self.peer_round,
         ):
             if await self.poll_one(peer, MessageKind.configuration_fetch):
                 return
 
-    def ask_all(self) -> None:
+    def poll_all_control(self) -> None:
         """Ask every control replica at once, for the first revision.
 
         After all machines were dark, replicas start with the VMs and are
@@ -274,40 +277,42 @@
         for address in all_control_addresses(None, self.control):
             self.background.run(
                 f'first from {address}',
-                partial(self.ask_first, address),
+                partial(self.poll_first_revision, address),
             )
 
-    async def ask_first(self, address: Address) -> None:
+    async def poll_first_revision(self, address: Address) -> None:
         """Ask one control replica for the first revision."""
-        told = await self.call(address, MessageKind.vm_heartbeat)
-        if told is None or self.current is not None:
+        reply = await self.request_update(address, MessageKind.vm_heartbeat)
+        if reply is None or self.current is not None:
             return
-        self.first.note(address, told)
-        if self.first.has_majority(
+        self.initial_replies.record(address, reply)
+        if self.initial_replies.has_majority(
             len(all_control_addresses(None, self.control))
         ):
             self.sync_state = replace(self.sync_state, unproven_after_s=0.0)
-        newest = self.first.newest()
-        await self.take(newest.news, newest.asked_at)
+        newest = self.initial_replies.newest()
+        await self.receive_update(newest.update, newest.requested_at)
 
     async def poll_one(self, address: Address, kind: MessageKind) -> bool:
         """Send one heartbeat; True where the reply proved a live quorum."""
-        told = await self.call(address, kind)
-        if told is None:
+        reply = await self.request_update(address, kind)
+        if reply is None:
             return False
         from_peer = kind is MessageKind.configuration_fetch
-        outcome = await self.take(
-            told.news,
-            told.asked_at,
+        outcome = await self.receive_update(
+            reply.update,
+            reply.requested_at,
             from_peer=from_peer,
         )
-        if isinstance(outcome, NewsRefused):
+        if isinstance(outcome, UpdateRejected):
             return False
-        return 0 <= told.news.quorum_age_s <= FRESH_PROOF_S
+        return 0 <= reply.update.quorum_age_s <= MAX_PROOF_AGE_S
 
-    async def call(self, address: Address, kind: MessageKind) -> Told | None:
+    async def request_update(
+        self, address: Address, kind: MessageKind
+    ) -> UpdateReply | None:
         """Send one heartbeat; return the news, None where none came."""
-        asked_at = self.timer.now()
+        requested_at = self.timer.now()
         reply = await self.links.call(
             address,
             kind,
@@ -318,12 +323,12 @@
             self.metrics.count('configuration_asks_failed_total')
             return None
         try:
-            news = decode_news(reply.ok_value)
+            update = decode_update(reply.ok_value)
         except FrameError:
             self.metrics.count('configuration_news_malformed_total')
             return None
-        self.sends_record = bool(news.introduce)
-        return Told(news, asked_at)
+        self.sends_record = bool(update.introduce)
+        return UpdateReply(update, requested_at)
 
     def heartbeat(self) -> ttypes.VmHeartbeat:
         """Return what this VM tells of itself."""
@@ -334,29 +339,29 @@
             vm=vm_to_wire(self.record) if self.sends_record else None,
         )
 
-    async def on_news(self, sender: str, body: bytes) -> None:
+    async def on_update(self, sender: str, body: bytes) -> None:
         """Take a push; ask at once where its delta does not fit."""
-        news = decode_news(body)
-        outcome = await self.take(news, None)
-        if isinstance(outcome, NewsRefused):
-            self.background.run('heartbeat', self.ask)
+        update = decode_update(body)
+        outcome = await self.receive_update(update, None)
+        if isinstance(outcome, UpdateRejected):
+            self.background.run('heartbeat', self.poll)
 
     async def on_fetch(self, sender: str, body: bytes) -> bytes:
         """Tell a peer what this VM holds, with the age of its proof."""
         heartbeat = decode(ttypes.VmHeartbeat, body)
-        news = self.history.make_update(
+        update = self.history.make_update(
             heartbeat.revision or 0,
             self.quorum_age_s(),
         )
-        return encode(news)
+        return encode(update)
 
-    async def take(
+    async def receive_update(
         self,
-        news: ttypes.ConfigurationNews,
-        asked_at: float | None,
+        update: ttypes.ConfigurationNews,
+        requested_at: float | None,
         *,
         from_peer: bool = False,
-    ) -> NewsOutcome:
+    ) -> UpdateOutcome:
         """Apply news and tell the subscribers of a newer revision.
 
         A newer revision is on the disk before it is in force: a VM that
@@ -366,33 +371,33 @@
         async with self.lock:
             sync_state, outcome = apply_update(
                 self.sync_state,
-                news,
-                asked_at,
+                update,
+                requested_at,
                 from_peer=from_peer,
             )
             if isinstance(outcome, RevisionApplied):
-                return await self.put_in_force(sync_state, outcome)
+                return await self.activate(sync_state, outcome)
             self.sync_state = sync_state
-            if isinstance(outcome, NewsRefused):
-                self.note_refused(outcome)
+            if isinstance(outcome, UpdateRejected):
+                self.record_rejected(outcome)
             return outcome
 
-    async def put_in_force(
+    async def activate(
         self,
         sync_state: SyncState,
         outcome: RevisionApplied,
-    ) -> NewsOutcome:
+    ) -> UpdateOutcome:
         """Check, keep and publish a newer revision."""
         latest = outcome.latest
         try:
             revision = revision_of(latest.revision, latest.document)
-        except ValidationError as bad:
-            refused = NewsRefused(DocumentMalformed(str(bad)))
+        except ValidationError as error:
+            rejected = UpdateRejected(DocumentMalformed(str(error)))
             self.sync_state = replace(self.sync_state, needs_full_document=True)
-            self.note_refused(refused)
-            return refused
+            self.record_rejected(rejected)
+            return rejected
         if self.revision_file is not None:
-            await self.keep(self.revision_file, latest)
+            await self.persist(self.revision_file, latest)
         self.sync_state = sync_state
         if self.current is not None or self.is_listed(revision):
             self.publish(revision)
@@ -408,7 +413,7 @@
             return True
         return any(vm.name == self.record.name for vm in revision.vms)
 
-    async def keep(
+    async def persist(
         self, revision_file: RevisionFile, latest: DocumentRevision
     ) -> None:
         """Write a revision to the disk; a failure is counted and logged.
@@ -418,9 +423,9 @@
         """
         try:
             await asyncio.to_thread(revision_file.write, latest)
-        except StorageError as failed:
+        except StorageError as error:
             self.metrics.count('configuration_keep_failed_total')
-            log_change('configuration:keep_failed', reason=failed.reason)
+            log_change('configuration:keep_failed', reason=error.reason)
 
     def publish(self, revision: Revision) -> None:
         """Put a revision in force at once and tell the subscribers."""
@@ -433,10 +438,10 @@
             revision=revision.revision,
             number=revision.manifest.number,
         )
-        for notice in self.subscribers:
-            notice(revision)
+        for callback in self.subscribers:
+            callback(revision)
 
-    def note_refused(self, refused: NewsRefused) -> None:
+    def record_rejected(self, rejected: UpdateRejected) -> None:
         """Count and log news that could not be applied."""
         self.metrics.count('configuration_news_refused_total')
-        log_change('configuration:news_refused', fault=repr(refused.fault))
+        log_change('configuration:news_refused', fault=repr(rejected.fault))
--- a/godwitshunt/configuration/transitions.py
+++ b/godwitshunt/configuration/transitions.py
@@ -16,11 +16,11 @@
     IssueOrder,
 )
 from godwitshunt.configuration.evacuations import change_evacuation
-from godwitshunt.configuration.members import change_holders, change_vms
-from godwitshunt.configuration.numbers import (
+from godwitshunt.configuration.manifest_numbers import (
     accept_manifest,
     confirm_manifest,
 )
+from godwitshunt.configuration.members import change_holders, change_vms
 from godwitshunt.configuration.orders import finish_order, issue_order
 from godwitshunt.configuration.state import ControlState, Step
 
--- a/godwitshunt/configuration/news_wire.py
+++ b/godwitshunt/configuration/update_wire.py
@@ -6,7 +6,7 @@
 from godwitshunt.peer import decode
 from godwitshunt.settings import Address
 
-NEWS_FIELDS = ('revision', 'digest', 'base_digest', 'body', 'quorum_age_s')
+UPDATE_FIELDS = ('revision', 'digest', 'base_digest', 'body', 'quorum_age_s')
 
 
 def require_fields(message: object, *fields: str) -> None:
@@ -23,11 +23,11 @@
             raise FrameError(f'{type(message).__name__}: no {field}')
 
 
-def decode_news(body: bytes) -> ttypes.ConfigurationNews:
+def decode_update(body: bytes) -> ttypes.ConfigurationNews:
     """Read news; raise FrameError where it is not whole."""
-    news = decode(ttypes.ConfigurationNews, body)
-    require_fields(news, *NEWS_FIELDS)
-    return news
+    update = decode(ttypes.ConfigurationNews, body)
+    require_fields(update, *UPDATE_FIELDS)
+    return update
 
 
 def vm_to_wire(vm: VmRecord) -> ttypes.VmInfo:
@@ -61,5 +61,5 @@
             peer=Address(host=info.peer.host, port=info.peer.port),
             session=info.session or '',
         )
-    except (ValueError, AttributeError) as bad:
-        raise FrameError(f'VmInfo: {bad!r}') from None
+    except (ValueError, AttributeError) as error:
+        raise FrameError(f'VmInfo: {error!r}') from None
--- a/godwitshunt/configuration/wire.py
+++ b/godwitshunt/configuration/wire.py
@@ -9,14 +9,14 @@
 from godwitshunt.configuration import commands
 from godwitshunt.configuration.document import (
     DocumentMalformed,
+    document_from_plain,
+    document_to_plain,
     pack,
-    plain,
-    read_plain,
     unpack,
 )
 from godwitshunt.configuration.gen.wire import ttypes
-from godwitshunt.configuration.news_wire import vm_from_wire, vm_to_wire
 from godwitshunt.configuration.state import ControlState, NumberRecord
+from godwitshunt.configuration.update_wire import vm_from_wire, vm_to_wire
 from godwitshunt.peer import decode, encode
 
 PROPOSAL_BYTES = 12
@@ -125,7 +125,7 @@
     """Return the control state for a snapshot."""
     fields: dict[str, Any] = {
         'revision': state.revision,
-        'document': plain(state.document),
+        'document': document_to_plain(state.document),
         'highest': state.highest_number,
         'numbers': [
             [number, known.digest, known.revision, awaited_fields(known)]
@@ -157,7 +157,7 @@
     fields: dict[str, Any],
 ) -> Result[ControlState, DocumentMalformed]:
     """Read the control state from plain JSON fields."""
-    document = read_plain(fields['document'])
+    document = document_from_plain(fields['document'])
     if isinstance(document, Err):
         return document
     orders = [
