--- a/godwitshunt/configuration/__init__.py
+++ b/godwitshunt/configuration/__init__.py
@@ -1,8 +1,9 @@
-"""Accepting, distributing and applying configuration."""
+"""Acceptance, distribution and application of configuration revisions."""
 
 import lazy_loader
 
-# Loaded when first used: a program starts without the parts that it lacks.
+# Loaded on first use, so that a program starts without modules that it does
+# not need or have installed.
 __getattr__, __dir__, __all__ = lazy_loader.attach(
     __name__,
     submod_attrs={
--- a/godwitshunt/configuration/background.py
+++ b/godwitshunt/configuration/background.py
@@ -1,4 +1,4 @@
-"""Tasks that a part starts in answer to notices, and ends when it closes."""
+"""Background tasks that a component starts and cancels when it closes."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -8,11 +8,11 @@
 
 
 class BackgroundTasks:
-    """Tasks of one part; each piece of work runs once at a time.
+    """Named tasks of one component; a name runs at most once at a time.
 
-    A notice of the timer must not wait, so the work that it asks for runs in
-    a task. Where the work of the last notice is not done, the notice is
-    skipped: a slow peer would else pile up calls.
+    A timer callback must not block, so its work runs in a task. A callback is
+    skipped while the work of the previous one is unfinished; otherwise calls
+    to a slow peer would pile up.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         name: str,
         work: Callable[[], Coroutine[None, None, None]],
     ) -> None:
-        """Start the work unless it is still under way."""
+        """Start the work unless work of this name is still running."""
         if not self.is_running(name):
             self.tasks[name] = asyncio.create_task(self.attempt(name, work))
 
@@ -32,7 +32,7 @@
         name: str,
         work: Callable[[], Coroutine[None, None, None]],
     ) -> None:
-        """Do the work; log a fault, or a message that it could not read."""
+        """Run the work and log any exception or malformed message."""
         try:
             await work()
         except FrameError as error:
@@ -40,28 +40,29 @@
                 'background:message_malformed', work=name, fault=str(error)
             )
         except Exception as fault:
-            # The next notice begins the work anew; the fault must be seen.
+            # The next callback retries; without the log line nobody would see
+            # the failure.
             log_change('background:work_failed', work=name, fault=repr(fault))
 
     async def wait(self, name: str) -> None:
-        """Wait until the work of a name is done; its failure is its own."""
+        """Wait until the work of a name ends; its exception is not raised."""
         running = self.tasks.get(name)
         if running is not None:
             await asyncio.wait((running,))
 
     def is_running(self, name: str) -> bool:
-        """Tell whether work of a name is under way."""
+        """Return whether work of a name is running."""
         running = self.tasks.get(name)
         return running is not None and not running.done()
 
     def remove_done(self) -> None:
-        """Drop work that is done; for work of ever new names."""
+        """Remove finished tasks; needed where names are not reused."""
         for name, task in tuple(self.tasks.items()):
             if task.done():
                 self.tasks.pop(name)
 
     async def close(self) -> None:
-        """End all work."""
+        """Cancel all tasks and wait for their end."""
         for task in self.tasks.values():
             task.cancel()
         await asyncio.gather(*self.tasks.values(), return_exceptions=True)
--- a/godwitshunt/configuration/cluster.py
+++ b/godwitshunt/configuration/cluster.py
@@ -1,4 +1,4 @@
-"""The replicas of the log, as operators make and repair them."""
+"""Operators' commands to initialise and repair the replicas of the log."""
 
 import asyncio
 from typing import Any
@@ -23,22 +23,28 @@
 
 
 class ReplaceRequest(StrictModel):
-    """Where the new replica is; None for the lost one's address."""
+    """Body of a replace call.
+
+    Parameters
+    ----------
+    address : Address or None
+        Peer address of the new replica; None for that of the lost one.
+    """
 
     address: Address | None = None
 
 
 class Cluster:
-    """Makes the cluster once, and puts new replicas in lost ones' places.
+    """Initialises the cluster once and replaces lost replicas.
 
     Parameters
     ----------
     consensus : ConsensusTask
-        Of this replica.
+        Consensus task of this replica.
     control : tuple of Address
         Peer addresses of all control replicas, the same on each of them.
     own : Address
-        The one of this replica.
+        Peer address of this replica.
     """
 
     def __init__(
@@ -51,18 +57,18 @@
         self.other_replicas = tuple(
             member for member in control if member != own
         )
-        # Two operators who start the cluster at once at two replicas would
-        # make two clusters; so only the replica named first ever does.
+        # Two operators who initialise at two replicas at once would create two
+        # clusters; so only the replica named first accepts the command.
         self.is_first = control[0] == own
         self.lock = asyncio.Lock()
 
     async def initialise(self) -> Result[object, BootstrapFailure]:
-        """Start the log with all named replicas as voters, or go on with it.
+        """Bootstrap the log with all named replicas as voters, or resume it.
 
-        A start that was cut off half-way has left a cluster of fewer voters;
-        the replicas that are still unused and no members of it then join. A
-        name that is a member already is never added again: its folder was
-        lost, and `replace` is what repairs that.
+        An interrupted bootstrap leaves a cluster with fewer voters; unused
+        replicas that are not members of it then join. A name that is already
+        a member is never added again: its folder was lost, which `replace`
+        repairs.
         """
         async with self.lock:
             if self.consensus.identity().unused:
@@ -74,7 +80,7 @@
             return await self.join_missing()
 
     async def join_missing(self) -> Result[object, BootstrapFailure]:
-        """Make voters of the named replicas that are no members yet."""
+        """Make the named replicas that are not members yet voters."""
         own = self.consensus.identity().replica
         outcome: Result[object, BootstrapFailure] = Err(AlreadyInitialised(own))
         for address in self.other_replicas:
@@ -92,7 +98,10 @@
         return outcome
 
     def is_missing(self, identity: Identity) -> bool:
-        """Tell whether a replica is not a voter, nor its name any member."""
+        """Return whether a replica has yet to become a voter.
+
+        That is an unused replica whose name is not a member, or a learner.
+        """
         named = self.members_on_vm(identity.replica.name)
         if not named:
             return identity.unused
@@ -103,20 +112,22 @@
         name: str,
         address: Address | None,
     ) -> Result[object, BootstrapFailure]:
-        """Make a new replica a voter, then take the lost one out.
+        """Make a new replica a voter, then remove the lost one.
 
         Parameters
         ----------
         name : str
-            The lost replica's VM.
+            Name of the lost replica's VM.
         address : Address or None
-            Peer address of the new replica; None for the lost one's.
+            Peer address of the new replica; None for the address of the lost
+            one.
 
         Notes
         -----
-        The new replica is a learner until it has every committed entry. A
-        second loss right after the repair then loses nothing. Each step can
-        be repeated, so an operator who lost the answer sends the same again.
+        The new replica is a learner until it has every committed entry, so
+        that a second loss right after the repair loses no entry. Each step is
+        idempotent: an operator who did not receive the answer sends the same
+        command again.
         """
         async with self.lock:
             if not self.consensus.leadership().is_leader:
@@ -142,7 +153,10 @@
         address: Address,
         lost: tuple[ReplicaId, ...],
     ) -> Result[object, BootstrapFailure]:
-        """Add, promote and remove, as far as that is not done yet."""
+        """Add and promote the new replica and remove the lost ones.
+
+        Steps that are already done are skipped.
+        """
         new = identity.replica
         known = {member.replica: member for member in self.consensus.members()}
         outcome: Result[object, BootstrapFailure] = Ok(None)
@@ -160,7 +174,7 @@
         return outcome
 
     def members_on_vm(self, name: str) -> tuple[MemberStatus, ...]:
-        """Return the members of a VM, one for each of its folders."""
+        """Return the members of a VM, one for each data folder it has used."""
         return tuple(
             member
             for member in self.consensus.members()
@@ -168,7 +182,7 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """Return voters, learners and whether one more loss is survivable."""
+        """Return the voters, the learners and the fault tolerance left."""
         members = self.consensus.members()
         return {
             'voters': [describe(member) for member in members if member.voter],
@@ -180,7 +194,7 @@
 
 
 def describe(member: MemberStatus) -> dict[str, Any]:
-    """Return a member as JSON fields."""
+    """Return the JSON fields of a member."""
     silent_s = member.silent_s
     if silent_s is not None and silent_s == float('inf'):
         silent_s = None
--- a/godwitshunt/configuration/commands.py
+++ b/godwitshunt/configuration/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log, and what each comes back with."""
+"""Commands of the replicated log and their outcomes."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,13 +13,14 @@
     Parameters
     ----------
     number : int
-        The pipeline's number of the manifest.
+        Number that the deployment pipeline gave the manifest.
     digest : str
         SHA-256 of the manifest's canonical form, in hexadecimal.
     base_digest : str
-        Digest of the manifest that `body` changes; empty for a whole one.
+        Digest of the manifest that `body` changes; empty for a full
+        manifest.
     body : bytes
-        Compressed JSON of the delta or of the whole document.
+        Compressed JSON of the delta or of the full document.
     """
 
     number: int
@@ -30,22 +31,23 @@
 
 @dataclass(frozen=True)
 class ConfirmManifest:
-    """Every awaited VM applied the manifest or has stopped."""
+    """Record that every awaited VM has applied the manifest or stopped."""
 
     number: int
 
 
 @dataclass(frozen=True)
 class ChangeVms:
-    """Admit VMs, or take them out.
+    """Admit or remove VMs.
 
     Parameters
     ----------
     removed : tuple of str
-        Known to have stopped: an operator said so.
+        VMs that an operator reported as stopped.
     absent : tuple of str
-        Not heard for long. They leave the list of VMs, but they may only be
-        cut off, and acceptances that concern their region still wait.
+        VMs without a heartbeat for a long time. They leave the list of VMs,
+        but they may only be partitioned, so acceptances that concern their
+        region still wait for them.
     """
 
     admitted: tuple[VmRecord, ...] = ()
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True)
 class ChangeHolders:
-    """Name the claim holders of a region from now on."""
+    """Set the claim holders of a region."""
 
     region: str
     names: tuple[str, ...]
@@ -63,7 +65,7 @@
 
 @dataclass(frozen=True)
 class ChangeEvacuation:
-    """Send nothing more to the upstreams of a failure domain, or again."""
+    """Stop or resume sending to the upstreams of a failure domain."""
 
     failure_domain: str
     evacuated: bool
@@ -71,16 +73,17 @@
 
 @dataclass(frozen=True)
 class IssueOrder:
-    """Give an order to an upstream the next fencing number.
+    """Issue an order to an upstream under the next fencing number.
 
     Parameters
     ----------
     order : str
-        Chosen by whoever asks; the same one is never issued twice.
+        Name chosen by the requester; an order is issued once per name.
     upstream, action, subject : str
-        Who is to do what with which model, adapter, version or role.
+        Upstream that has to act, the action, and the model, adapter, version
+        or role that it applies to.
     weight_units : int
-        Units that it takes from the weight store's bucket.
+        Units that the order takes from the weight store's token bucket.
     """
 
     order: str
@@ -91,11 +94,11 @@
 
 
 class OrderEnding(StrEnum):
-    """What became of an order.
+    """Status of an order.
 
-    `open` orders are sent again until the upstream has answered; `fenced` ones
-    were refused since the upstream had seen a higher number; `failed` ones
-    were refused for another reason.
+    `open` orders are resent until the upstream answers; `fenced` ones were
+    refused because the upstream had seen a higher fencing number; `failed`
+    ones were refused for another reason.
     """
 
     open = 'open'
@@ -106,7 +109,7 @@
 
 @dataclass(frozen=True)
 class FinishOrder:
-    """The upstream has answered an order."""
+    """Record the upstream's answer to an order."""
 
     order: str
     ending: OrderEnding
@@ -130,8 +133,8 @@
     Parameters
     ----------
     lease_suffices : bool
-        True where the VM, once isolated, would not serve there either, so
-        that the end of its lease counts as its stop.
+        True if the VM stops serving the affected requests once it is
+        isolated, so that the end of its lease counts as its stop.
     """
 
     name: str
@@ -140,16 +143,16 @@
 
 @dataclass(frozen=True)
 class Accepted:
-    """The manifest is the accepted one of its number.
+    """The manifest was accepted under its number.
 
     Parameters
     ----------
     revision : int
-        The revision that it came into force with.
+        The revision in which the manifest became active.
     superseded_by : int or None
-        A later accepted number, where there is one.
+        The highest accepted number if it is higher, else None.
     repeated : bool
-        True where this answer was given before.
+        True if the number was already accepted before this command.
     """
 
     number: int
@@ -161,10 +164,10 @@
 
 @dataclass(frozen=True)
 class Pending:
-    """Committed and distributed, not accepted yet.
+    """The manifest is committed and distributed, but not accepted yet.
 
-    The manifest takes a region away from a home; until these VMs have applied
-    it or stopped, one of them may still serve there.
+    It removes a region from a caller or model; until the awaited VMs have
+    applied it or stopped, one of them may still serve there.
     """
 
     number: int
@@ -175,7 +178,7 @@
 
 @dataclass(frozen=True)
 class NumberConflict:
-    """The number, or a higher one, belongs to other contents."""
+    """The number, or a higher one, belongs to another manifest."""
 
     number: int
     winner_number: int
@@ -185,7 +188,7 @@
 
 @dataclass(frozen=True)
 class NumberTooOld:
-    """The number lies below the window in which answers are kept."""
+    """The number is below the window for which answers are stored."""
 
     number: int
     oldest_known: int
@@ -193,19 +196,19 @@
 
 @dataclass(frozen=True)
 class BaseChanged:
-    """The delta builds on a manifest that is not the newest any more."""
+    """The delta builds on a manifest that is no longer the newest."""
 
 
 @dataclass(frozen=True)
 class ManifestUnreadable:
-    """The committed body does not give the manifest of its digest."""
+    """The committed body does not decode to the manifest of its digest."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Applied:
-    """The change is in the configuration of this revision."""
+    """The change is part of the configuration as of this revision."""
 
     revision: int
 
@@ -225,21 +228,21 @@
 
 @dataclass(frozen=True)
 class OrderUnknown:
-    """No order of this name is kept."""
+    """No order of this name is stored."""
 
     order: str
 
 
 @dataclass(frozen=True)
 class OrderConflict:
-    """The order's name belongs to another order."""
+    """The name already belongs to another order."""
 
     order: str
 
 
 @dataclass(frozen=True)
 class CommandUnknown:
-    """A log entry of a kind that this version does not know."""
+    """The log entry is of a kind that this version does not know."""
 
 
 ManifestOutcome = (
--- a/godwitshunt/configuration/configuration.thrift
+++ b/godwitshunt/configuration/configuration.thrift
@@ -1,4 +1,4 @@
-/** Configuration: the commands in the replicated log, and its distribution. */
+/** Configuration: commands of the replicated log and distribution messages. */
 namespace py wire
 
 struct Endpoint {
@@ -6,7 +6,7 @@
   2: i32 port
 }
 
-/** A VM as it describes itself. */
+/** Record that a VM sends of itself. */
 struct VmInfo {
   1: string name
   2: string region
@@ -14,7 +14,7 @@
   4: string role
   5: Endpoint http
   6: Endpoint peer
-  /** Drawn at each start of the VM's process. */
+  /** Random, new at each start of the VM's process. */
   7: string session
 }
 
@@ -36,19 +36,19 @@
 
 struct ChangeVms {
   1: list<VmInfo> admitted
-  /** Known to have stopped. */
+  /** Reported as stopped by an operator. */
   2: list<string> removed
-  /** Not heard for long, perhaps only cut off. */
+  /** Without a heartbeat for a long time, perhaps only partitioned. */
   3: list<string> absent
 }
 
-/** The claim holders of a region from now on. */
+/** Set the claim holders of a region. */
 struct ChangeHolders {
   1: string region
   2: list<string> names
 }
 
-/** Nothing more goes to the upstreams of a failure domain, or again. */
+/** Stop or resume sending to the upstreams of a failure domain. */
 struct ChangeEvacuation {
   1: string failure_domain
   2: bool evacuated
@@ -56,16 +56,16 @@
 
 /** An order to an upstream; committed before it is sent. */
 struct IssueOrder {
-  /** Chosen by whoever asks; the same one is never issued twice. */
+  /** Chosen by the requester; an order is issued once per name. */
   1: string order
   2: string upstream
   3: string action
   4: string subject
-  /** Units that the order takes from the weight store's bucket. */
+  /** Units that the order takes from the weight store's token bucket. */
   5: i32 weight_units
 }
 
-/** What became of an order that was sent. */
+/** Outcome of an order that was sent. */
 struct FinishOrder {
   1: string order
   2: string ending
@@ -73,7 +73,7 @@
 
 /** One entry of the replicated log; exactly one command is set. */
 struct Command {
-  /** Random; pairs the entry with the call that waits for its outcome. */
+  /** Random identifier; matches the entry to the call that awaits its outcome. */
   1: string proposal
   2: optional AcceptManifest accept_manifest
   3: optional ConfirmManifest confirm_manifest
@@ -84,46 +84,46 @@
   8: optional ChangeEvacuation change_evacuation
 }
 
-/** From a VM to a control replica or a peer of its region, each second. */
+/** Sent by a VM to a control replica or a peer of its region, each second. */
 struct VmHeartbeat {
   1: string name
   2: string session
-  /** The revision in force there; 0 for none, or to ask for the whole. */
+  /** Latest revision of the VM; 0 for none, or to request the full document. */
   3: i64 revision
-  /** Until the receiver knows it. */
+  /** Set until the receiver knows it. */
   4: optional VmInfo vm
 }
 
-/** The newest revision: nothing, a delta, or the whole document. */
+/** Update to the newest revision: empty, a delta, or the full document. */
 struct ConfigurationNews {
   1: i64 revision
-  /** SHA-256 of the whole document; empty where nothing is newer. */
+  /** SHA-256 of the full document; empty if nothing is newer. */
   2: string digest
-  /** Digest of the document that a delta builds on; empty for a whole one. */
+  /** Digest of the document that a delta builds on; empty for a full one. */
   3: string base_digest
-  /** Compressed JSON; empty where the receiver has this revision. */
+  /** Compressed JSON; empty if the receiver has this revision. */
   4: binary body
   /** Seconds since the last proof of a live quorum; negative for none. */
   5: double quorum_age_s
-  /** The receiver of the heartbeat does not know the VM in this session. */
+  /** True if the receiver of the heartbeat does not know the VM's session. */
   6: bool introduce
 }
 
-/** What one control replica heard from a VM. */
+/** Last heartbeat of a VM, as one control replica received it. */
 struct VmReport {
   1: string name
   2: i64 revision
   3: double age_s
-  /** Only where it differs from what is committed. */
+  /** Only set if it differs from the committed record. */
   4: optional VmInfo vm
 }
 
-/** From a control replica to the others, each second. */
+/** Sent by a control replica to the others, each second. */
 struct VmReports {
   1: list<VmReport> reports
 }
 
-/** An operator's call that a follower passes to the leader. */
+/** An operator's call that a follower forwards to the leader. */
 struct OperatorCall {
   1: string method
   2: string path
--- a/godwitshunt/configuration/delta.py
+++ b/godwitshunt/configuration/delta.py
@@ -1,4 +1,4 @@
-"""Deltas between two documents: changed entries by section and name."""
+"""Deltas between two documents, by section and entry name."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 def diff(base: Document, target: Document) -> dict[str, Any]:
-    """Return what turns one document into another, as plain JSON fields.
+    """Return the delta from one document to another as JSON fields.
 
     Examples
     --------
@@ -40,10 +40,11 @@
 
 
 def diff_section(before: Section, after: Section) -> dict[str, Any]:
-    """Return the change of one section.
+    """Return the delta of one section.
 
-    The order of entries is part of the digest. New entries carry their place;
-    where entries that stay have changed their order, the whole section goes.
+    The order of entries is part of the digest. New entries carry their
+    position; if the remaining entries change their order, the delta holds the
+    full section.
     """
     common_before = [name for name in before if name in after]
     common_after = [name for name in after if name in before]
@@ -67,7 +68,7 @@
     base: Document,
     delta: dict[str, Any],
 ) -> Result[Document, DocumentMalformed]:
-    """Apply a delta; the caller checks the digests around it."""
+    """Apply a delta; the caller checks the digests before and after."""
     try:
         sections = {
             name: patch_section(name, base.section(name), change)
@@ -88,7 +89,7 @@
     before: Section,
     change: dict[str, Any],
 ) -> Section:
-    """Return a section after its change."""
+    """Return a section with its delta applied."""
     whole = change.get('whole')
     if whole is not None:
         return index_by_name(name, whole)
@@ -106,7 +107,7 @@
 
 
 def insert_all(entries: list, added: Sequence) -> list:
-    """Insert entries at their places, lowest place first."""
+    """Insert entries at their positions, which must be in rising order."""
     for position, entry in added:
         entries.insert(position, entry)
     return entries
--- a/godwitshunt/configuration/document.py
+++ b/godwitshunt/configuration/document.py
@@ -1,8 +1,8 @@
-"""The whole configuration as one document: digest, delta and wire form.
+"""The configuration as one document, with its digest and wire format.
 
-A manifest of 1,100 organisations is some 300 kB of JSON, while a change mostly
-touches one entry. Sections are therefore kept by name, and what travels is the
-changed entries over the digest of the document that they build on.
+A manifest of 1,100 organisations is about 300 kB of JSON, while most changes
+affect one entry. Sections are therefore indexed by entry name, and a delta
+carries the changed entries and the digest of the document that it builds on.
 """
 
 import hashlib
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True)
 class DocumentMalformed:
-    """Bytes that are no document or delta."""
+    """The bytes are not a valid document or delta."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class DigestMismatch:
-    """A delta that builds on another document, or gives another result."""
+    """The delta builds on another document, or its result differs."""
 
     expected: str
     found: str
@@ -66,21 +66,21 @@
 
 @dataclass(frozen=True)
 class Document:
-    """One configuration, its sections kept by entry name.
+    """One configuration, its sections indexed by entry name.
 
     Parameters
     ----------
     scalars : mapping
-        The manifest's fields that are no sections.
+        Fields of the manifest that are not sections.
     sections : mapping
-        For each section its entries by name, in the operator's order.
+        Entries of each section by name, in the order of the manifest.
     """
 
     scalars: Mapping[str, Any] = field(default_factory=dict)
     sections: Mapping[str, Section] = field(default_factory=dict)
 
     def section(self, name: str) -> Section:
-        """Return a section; empty where the document has none."""
+        """Return a section, empty if the document does not have it."""
         return self.sections.get(name, EMPTY)
 
     def with_section(self, name: str, entries: Section) -> 'Document':
@@ -88,16 +88,17 @@
         return replace(self, sections={**self.sections, name: entries})
 
     def without_origin(self) -> 'Document':
-        """Return the document as VMs need it, without the pipeline's own.
+        """Return the document for VMs, without the pipeline's source text.
 
-        That is as long as all the rest, and holds keys of callers, which
-        no VM needs and no message between regions is to show.
+        The source text is as long as the rest of the document. It holds keys
+        of callers, which VMs do not need and which must not be sent between
+        regions.
         """
         scalars = {**self.scalars, ORIGIN: ''}
         return replace(self, scalars=scalars)
 
     def manifest_fields(self) -> dict[str, Any]:
-        """Return the manifest's part as plain fields."""
+        """Return the fields of the manifest part."""
         return {
             **self.scalars,
             **{
@@ -108,19 +109,19 @@
 
 
 def entry_name(section: str, entry: Entry) -> str:
-    """Return the name that an entry has within its section."""
+    """Return the name of an entry, unique within its section."""
     if section == 'holders':
         return f'{entry["region"]}.{entry["generation"]}'
     return entry['name']
 
 
 def index_by_name(section: str, entries: Iterable[Entry]) -> Section:
-    """Return entries by their names, in order."""
+    """Return entries indexed by name, in the same order."""
     return {entry_name(section, entry): entry for entry in entries}
 
 
 def document_of(manifest: Manifest) -> Document:
-    """Return the document of a manifest, without VMs and holders."""
+    """Return the document of a manifest, without VMs and claim holders."""
     fields = manifest.model_dump(mode='json')
     sections = {
         name: index_by_name(name, fields.pop(name))
@@ -130,22 +131,22 @@
 
 
 def canonical_json(fields: Any) -> bytes:
-    """Return the one byte form that equal values share."""
+    """Return canonical JSON: equal fields give equal bytes."""
     return json.dumps(fields, sort_keys=True, separators=(',', ':')).encode()
 
 
 def digest_of(document: Document) -> str:
-    """Return the SHA-256 of the whole document, in hexadecimal."""
+    """Return the SHA-256 of the full document, in hexadecimal."""
     return hashlib.sha256(
         canonical_json(document_to_plain(document))
     ).hexdigest()
 
 
 def manifest_digest_of(document: Document) -> str:
-    """Return the digest of the manifest's part.
+    """Return the digest of the manifest part.
 
-    It equals `godwitshunt.manifest.manifest_digest` of the same manifest and
-    needs no validation, so that replicas check a delta cheaply.
+    It equals `godwitshunt.manifest.manifest_digest` of the same manifest, but
+    skips the model validation, which makes it cheap to check a delta.
     """
     return hashlib.sha256(
         canonical_json(document.manifest_fields())
@@ -153,7 +154,7 @@
 
 
 def document_to_plain(document: Document) -> dict[str, Any]:
-    """Return the document as plain JSON fields."""
+    """Return the JSON fields of the document."""
     return {
         'scalars': dict(document.scalars),
         'sections': {
@@ -168,7 +169,7 @@
 
 
 def unpack(body: bytes) -> Result[Any, DocumentMalformed]:
-    """Read compressed JSON, never growing beyond `MAX_DOCUMENT_BYTES`."""
+    """Read compressed JSON of at most `MAX_DOCUMENT_BYTES`."""
     stream = zlib.decompressobj()
     try:
         fields = json.loads(stream.decompress(body, MAX_DOCUMENT_BYTES))
@@ -180,12 +181,12 @@
 
 
 def pack_document(document: Document) -> bytes:
-    """Return the whole document in its wire form."""
+    """Return the full document in its wire format."""
     return pack(document_to_plain(document))
 
 
 def unpack_document(body: bytes) -> Result[Document, DocumentMalformed]:
-    """Read a whole document."""
+    """Read a full document from its wire format."""
     match unpack(body):
         case Err(fault):
             return Err(fault)
@@ -196,7 +197,7 @@
 def document_from_plain(
     fields: dict[str, Any],
 ) -> Result[Document, DocumentMalformed]:
-    """Read a document from plain JSON fields."""
+    """Read a document from its JSON fields."""
     try:
         sections = {
             name: index_by_name(name, fields['sections'].get(name, ()))
@@ -208,12 +209,12 @@
 
 
 def revision_of(revision: int, document: Document) -> Revision:
-    """Return the revision that the parts of an entry VM use.
+    """Return the validated revision of a document.
 
     Raises
     ------
     pydantic.ValidationError
-        Where the manifest's part is none.
+        If the manifest part is not a valid manifest.
     """
     return Revision(
         revision=revision,
@@ -236,7 +237,7 @@
 
 
 def vm_from_entry(entry: Entry) -> VmRecord:
-    """Return a VM's record from its entry."""
+    """Return the record of a VM from its document entry."""
     return VmRecord(
         name=entry['name'],
         region=entry['region'],
@@ -249,7 +250,7 @@
 
 
 def vm_to_entry(vm: VmRecord) -> Entry:
-    """Return a VM's entry for the document."""
+    """Return the document entry of a VM."""
     return {
         'name': vm.name,
         'region': vm.region,
--- a/godwitshunt/configuration/evacuations.py
+++ b/godwitshunt/configuration/evacuations.py
@@ -1,4 +1,4 @@
-"""Failure domains whose upstreams get nothing."""
+"""Failure domains whose upstreams receive no requests."""
 
 from godwitshunt.configuration.commands import Applied, ChangeEvacuation
 from godwitshunt.configuration.document import EVACUATIONS
@@ -6,7 +6,7 @@
 
 
 def change_evacuation(state: ControlState, command: ChangeEvacuation) -> Step:
-    """Begin or end an evacuation; where it stands already, nothing changes."""
+    """Begin or end an evacuation; without a change the revision stays."""
     before = state.document.section(EVACUATIONS)
     name = command.failure_domain
     after = {key: entry for key, entry in before.items() if key != name}
--- a/godwitshunt/configuration/explanation.py
+++ b/godwitshunt/configuration/explanation.py
@@ -1,4 +1,4 @@
-"""Where a caller's request may go, and which rule says so."""
+"""Explanations of where a request may be served, and by which rules."""
 
 from typing import Any
 
@@ -17,12 +17,12 @@
     service: str,
     model: str | None,
 ) -> dict[str, Any]:
-    """Return regions and rules for a request.
+    """Return the regions that may serve a caller, and the rules.
 
     Raises
     ------
     KeyError
-        Where the manifest does not declare the caller, service or model.
+        If the manifest does not declare the caller, service or model.
     """
     document = state.document
     declared = document.section('callers')[caller]
@@ -56,20 +56,20 @@
     path: str,
     organisation: str | None,
 ) -> dict[str, Any]:
-    """Return which route a request has, and by which rules it goes where.
+    """Return the route of a request and the rules that apply to it.
 
     Parameters
     ----------
     organisation : str or None
-        Whose request it is; None for one without a key.
+        Organisation of the request; None for a request without a key.
 
     Raises
     ------
     KeyError
-        Where the manifest declares no such organisation.
+        If the manifest does not declare the organisation.
     """
     manifest = Manifest.model_validate(state.document.manifest_fields())
-    organisations = {one.name: one for one in manifest.organisations}
+    organisations = {entry.name: entry for entry in manifest.organisations}
     owner = None if organisation is None else organisations[organisation]
     fields = {
         'revision': state.revision,
@@ -84,17 +84,17 @@
 
 
 def find_route(manifest: Manifest, host: str, path: str) -> Route | None:
-    """Return the route with the longest prefix that begins a path."""
+    """Return the route whose path prefix is the longest match."""
     matching = [
         route
         for route in manifest.routes
         if route.host == host.lower() and path.startswith(route.path_prefix)
     ]
-    return max(matching, key=lambda one: len(one.path_prefix), default=None)
+    return max(matching, key=lambda route: len(route.path_prefix), default=None)
 
 
 def describe_route(route: Route, owner: Organisation | None) -> dict[str, Any]:
-    """Return what holds for an organisation's requests of a route."""
+    """Return the homes, ranks and limit of a route's requests."""
     if route.keyed and owner is None:
         return {'answer': '401: the route asks for a key'}
     bound = bind_route(route, owner if route.keyed else None)
--- a/godwitshunt/configuration/freshness.py
+++ b/godwitshunt/configuration/freshness.py
@@ -1,10 +1,10 @@
-"""How long ago a control replica's state was known to be the newest; pure.
+"""When a control replica's state was last known to be current; no I/O.
 
-A VM with a fresh proof of a quorum must hold every change that was committed
-before the proof. A follower hears of a live quorum from its leader, perhaps
-before it has the entries that the quorum committed. If it passed that proof on
-with its older revision, a VM would go on by a rule that an accepted manifest
-has taken away. So a proof counts here only once the state has caught up.
+A VM with a fresh proof of a quorum must have every change that was committed
+before the proof. A follower may learn of a live quorum from its leader before
+it has the entries that the quorum committed. If it sent that proof with its
+older revision, a VM would continue to apply a rule that an accepted manifest
+has removed. So a proof counts only once the state has caught up.
 """
 
 from dataclasses import dataclass, replace
@@ -14,15 +14,15 @@
 
 @dataclass(frozen=True)
 class Freshness:
-    """When the applied state was known to include every commit.
+    """When the applied state last included every commit.
 
     Parameters
     ----------
     current_at : float
-        Monotonic time in seconds; nothing that was committed before is
-        missing here.
+        Monotonic time in seconds; the state includes every entry that was
+        committed before.
     pending_proofs : tuple of (int, float)
-        Proofs whose revision is not applied yet: revision and time.
+        Revision and time of each proof whose revision is not applied yet.
     """
 
     current_at: float = NEVER
@@ -31,7 +31,16 @@
     def record_proof(
         self, revision: int, requested_at: float, applied: int
     ) -> 'Freshness':
-        """Record that a revision was the newest after `requested_at`.
+        """Record that a revision was still the newest at `requested_at`.
+
+        Parameters
+        ----------
+        revision : int
+            The newest committed revision, read after `requested_at`.
+        requested_at : float
+            When it was requested, in monotonic seconds.
+        applied : int
+            The revision of the applied state.
 
         Examples
         --------
@@ -52,7 +61,7 @@
         return replace(self, current_at=max(self.current_at, requested_at))
 
     def catch_up(self, applied: int) -> 'Freshness':
-        """Count the proofs whose revision is applied now."""
+        """Count the proofs whose revision has been applied."""
         if not self.pending_proofs:
             return self
         times = [
--- a/godwitshunt/configuration/freshness_task.py
+++ b/godwitshunt/configuration/freshness_task.py
@@ -1,4 +1,4 @@
-"""Finds out, again and again, whether a control replica has every commit."""
+"""Periodic check of whether a control replica has every commit."""
 
 from result import Err
 
@@ -18,16 +18,16 @@
 
 
 class FreshnessTask:
-    """Asks the log where this replica leads, else its leader.
+    """Queries the log on the leader, or the leader on a follower.
 
     Parameters
     ----------
     machine : StateMachine
-        The applied state and the log.
+        State machine with the applied state and the log.
     links : PeerLinks
-        To the leader.
+        Links to the other control replicas.
     timer : Timer
-        Gives the period.
+        Schedules the checks.
     """
 
     def __init__(
@@ -44,34 +44,34 @@
         self.subscription: Subscription | None = None
 
     def start(self) -> None:
-        """Begin to ask, and to answer other replicas."""
+        """Start the periodic check and answer other replicas."""
         self.machine.subscribe(self.on_state)
         self.links.subscribe(MessageKind.configuration_fetch, self.on_fetch)
         self.subscription = self.timer.every(PROOF_PERIOD_S, self.start_proof)
 
     async def close(self) -> None:
-        """Ask no more."""
+        """Stop the periodic check."""
         if self.subscription is not None:
             self.subscription.cancel()
         await self.background.close()
 
     def on_state(self, state: ControlState) -> None:
-        """Count the proofs that waited for this state."""
+        """Count the proofs that were pending for this state."""
         self.freshness = self.freshness.catch_up(state.revision)
 
     def quorum_age_s(self) -> float:
-        """Return for how many seconds a commit may be missing here.
+        """Return the seconds since this state last included every commit.
 
-        Infinite where this replica never knew that it has every commit.
+        Infinite if that was never known.
         """
         return self.timer.now() - self.freshness.current_at
 
     def start_proof(self) -> None:
-        """Find out whether this replica has every commit."""
+        """Start a check of whether this replica has every commit."""
         self.background.run('proof', self.prove)
 
     async def prove(self) -> None:
-        """Ask the log where this replica leads, else the leader."""
+        """Query the newest committed revision and record the proof."""
         requested_at = self.timer.now()
         leadership = self.machine.log.leadership()
         if leadership.is_leader:
@@ -85,13 +85,13 @@
             )
 
     async def read_newest_revision(self) -> int | None:
-        """Return the revision that includes every commit so far."""
+        """Return the revision after a read barrier; None if it fails."""
         if isinstance(await self.machine.log.read_barrier(), Err):
             return None
         return self.machine.state.revision
 
     async def query_leader(self, name: str | None) -> int | None:
-        """Return the leader's revision, once it has every commit."""
+        """Return the leader's revision, None if it did not confirm it."""
         leader = self.machine.state.document.section('vms').get(name or '')
         if leader is None:
             return None
@@ -107,7 +107,7 @@
         return update.revision if update.quorum_age_s == 0 else None
 
     async def on_fetch(self, sender: str, body: bytes) -> bytes:
-        """Tell another control replica which revision is the newest."""
+        """Answer another control replica with the newest revision."""
         newest = None
         if self.machine.log.leadership().is_leader:
             newest = await self.read_newest_revision()
--- a/godwitshunt/configuration/heartbeats.py
+++ b/godwitshunt/configuration/heartbeats.py
@@ -1,4 +1,4 @@
-"""What control replicas heard from VMs; pure."""
+"""Last heartbeats of VMs, as control replicas know them; no I/O."""
 
 from dataclasses import dataclass, field
 
@@ -14,13 +14,14 @@
     Parameters
     ----------
     vm : VmRecord
-        As the VM describes itself.
+        Record that the VM sent of itself.
     revision : int
-        The revision in force there.
+        The latest revision on the VM.
     received_at : float
-        When, in monotonic seconds of this process.
+        When it was received, in monotonic seconds of this process.
     direct : bool
-        True where the VM spoke to this replica itself.
+        True if the VM sent it to this replica, False if another replica
+        reported it.
     """
 
     vm: VmRecord
@@ -31,23 +32,23 @@
 
 @dataclass
 class HeartbeatTable:
-    """The last heartbeat of each VM."""
+    """The last heartbeat of each VM by name."""
 
     by_name: dict[str, HeartbeatRecord] = field(default_factory=dict)
 
     def record(self, heartbeat: HeartbeatRecord) -> None:
-        """Note a heartbeat; a report of an older one changes nothing."""
+        """Store a heartbeat unless a later one is known."""
         previous = self.by_name.get(heartbeat.vm.name)
         if previous is None or heartbeat.received_at >= previous.received_at:
             self.by_name[heartbeat.vm.name] = heartbeat
 
     def has_applied(self, name: str, revision: int) -> bool:
-        """Tell whether a VM has said that a revision is in force there."""
+        """Return whether a VM has reported a revision as applied."""
         heartbeat = self.by_name.get(name)
         return heartbeat is not None and heartbeat.revision >= revision
 
     def is_live(self, name: str, now: float) -> bool:
-        """Tell whether a VM was heard within `HEARTBEAT_TIMEOUT_S`."""
+        """Return whether a VM was last seen within `HEARTBEAT_TIMEOUT_S`."""
         heartbeat = self.by_name.get(name)
         return (
             heartbeat is not None
@@ -55,7 +56,7 @@
         )
 
     def live(self, now: float) -> tuple[HeartbeatRecord, ...]:
-        """Return the VMs that are not silent."""
+        """Return the heartbeats of all live VMs."""
         return tuple(
             heartbeat
             for name, heartbeat in self.by_name.items()
@@ -63,18 +64,18 @@
         )
 
     def direct(self, now: float) -> tuple[HeartbeatRecord, ...]:
-        """Return the live VMs that speak to this replica itself."""
+        """Return those of live VMs that send them to this replica."""
         return tuple(
             heartbeat for heartbeat in self.live(now) if heartbeat.direct
         )
 
     def received_at(self, name: str) -> float:
-        """Return when a VM was last heard; minus infinity for never."""
+        """Return when a VM was last seen; minus infinity for never."""
         heartbeat = self.by_name.get(name)
         return float('-inf') if heartbeat is None else heartbeat.received_at
 
     def expire(self, before: float) -> None:
-        """Forget the VMs that were last heard before a time."""
+        """Remove the VMs that were last seen before a time."""
         for name in tuple(self.by_name):
             if self.received_at(name) < before:
                 self.by_name.pop(name)
--- a/godwitshunt/configuration/history.py
+++ b/godwitshunt/configuration/history.py
@@ -1,4 +1,4 @@
-"""The last documents, and what a VM that holds one of them still needs."""
+"""Recent documents and the updates between them."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -26,10 +26,10 @@
 
 @dataclass
 class RevisionHistory:
-    """The newest document and the ones that a delta can build on.
+    """The newest document and the recent ones that deltas can build on.
 
-    Documents share the entries that they have in common, so keeping the last
-    `MAX_DOCUMENTS` costs little more than keeping one.
+    Documents share their unchanged entries, so retaining `MAX_DOCUMENTS` of
+    them takes little more memory than one.
     """
 
     documents: OrderedDict[int, DocumentRevision] = field(
@@ -39,7 +39,7 @@
     bodies: dict[int, bytes] = field(default_factory=dict)
 
     def add(self, newest: DocumentRevision) -> None:
-        """Keep a newer document."""
+        """Add a newer document and remove the oldest beyond the limit."""
         self.newest = newest
         self.bodies.clear()
         self.documents[newest.revision] = newest
@@ -51,18 +51,18 @@
         revision: int,
         quorum_age_s: float,
     ) -> ConfigurationNews:
-        """Return what a VM with a revision is to be told.
+        """Return the update for a VM.
 
         Parameters
         ----------
         revision : int
-            In force on the VM; 0 asks for the whole document.
+            The latest revision of the VM; 0 requests the full document.
         quorum_age_s : float
             Seconds since the last proof of a quorum; infinite for none.
         """
         age_s = quorum_age_s if quorum_age_s < float('inf') else UNKNOWN_AGE_S
         if self.newest is None:
-            # A proof is worth nothing without the revision that it covers.
+            # A proof is meaningless without the revision that it covers.
             return ConfigurationNews(0, '', '', b'', UNKNOWN_AGE_S, False)
         if self.newest.revision <= revision:
             known = self.newest.revision
@@ -78,7 +78,7 @@
         )
 
     def body_for(self, base: DocumentRevision | None) -> bytes:
-        """Return the delta or the whole document, made once for each base."""
+        """Return the delta or the full document, cached for each base."""
         key = 0 if base is None else base.revision
         if key not in self.bodies:
             self.bodies[key] = (
--- a/godwitshunt/configuration/http_calls.py
+++ b/godwitshunt/configuration/http_calls.py
@@ -1,4 +1,4 @@
-"""One HTTP call on a connection of its own, for operators and for orders."""
+"""One HTTP call on its own connection, for operators and orders."""
 
 import asyncio
 import socket
@@ -27,7 +27,7 @@
     Parameters
     ----------
     timeout_s : float
-        Seconds until the call is given up, after the connection was made.
+        Seconds until the call is abandoned, once the connection is made.
     """
 
     method: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class HttpAnswer:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class ConnectFailed:
-    """No connection was made; the other side cannot have acted."""
+    """No connection was made; the server cannot have acted."""
 
     address: str
     reason: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class AnswerLost:
-    """The call was sent and no whole answer came; it may have been acted on."""
+    """No complete answer arrived; the server may have acted on the call."""
 
     address: str
     reason: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class NotPermitted:
-    """The call was held back at the last moment; nothing was sent."""
+    """The permit was withdrawn before the first byte; nothing was sent."""
 
     address: str
 
@@ -71,8 +71,8 @@
 HttpFailure = ConnectFailed | AnswerLost | NotPermitted
 Permit = Callable[[], bool]
 
-# With this a closed socket drops what it has not sent yet, so that a call
-# that was given up does not arrive later.
+# SO_LINGER with a timeout of zero discards unsent data at close, so that an
+# abandoned call does not arrive later.
 LINGER_DISCARD = struct.pack('ii', 1, 0)
 
 
@@ -87,7 +87,7 @@
     permit: Permit = always_permit,
     tls: ssl.SSLContext | None = None,
 ) -> Result[HttpAnswer, HttpFailure]:
-    """Send a request and read the whole answer.
+    """Send a request and read the complete answer.
 
     Parameters
     ----------
@@ -96,10 +96,10 @@
     call : HttpCall
         The request.
     permit : callable
-        Asked once the connection is there, as the last step before the first
-        byte is written.
+        Called once the connection is made, as the last step before the first
+        byte is written; the call is not sent if it returns False.
     tls : ssl.SSLContext or None
-        None talks plain TCP.
+        TLS context; None for plain TCP.
     """
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -127,9 +127,9 @@
 
 
 def abort_connection(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that nothing more of it arrives."""
+    """Abort a connection and discard unsent data."""
     raw_socket = writer.get_extra_info('socket')
-    # A connection that the other side has reset is closed already.
+    # The socket is already closed if the peer has reset the connection.
     with suppress(OSError):
         raw_socket.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, LINGER_DISCARD
@@ -143,7 +143,7 @@
     address: Address,
     call: HttpCall,
 ) -> HttpAnswer:
-    """Write the request and read the answer to its end."""
+    """Write the request and read the complete answer."""
     connection = h11.Connection(h11.CLIENT)
     head = h11.Request(
         method=call.method,
@@ -166,7 +166,13 @@
     reader: asyncio.StreamReader,
     connection: h11.Connection,
 ) -> HttpAnswer:
-    """Read an answer; raise `ConnectionResetError` where it is too long."""
+    """Read the complete answer.
+
+    Raises
+    ------
+    ConnectionResetError
+        If the answer is cut off or longer than `MAX_ANSWER_BYTES`.
+    """
     status = 0
     body = bytearray()
     while len(body) <= MAX_ANSWER_BYTES:
--- a/godwitshunt/configuration/initial_replies.py
+++ b/godwitshunt/configuration/initial_replies.py
@@ -1,4 +1,4 @@
-"""What control replicas told a VM that has no revision yet; pure."""
+"""Replies of control replicas to a VM without a revision; no I/O."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class UpdateReply:
-    """News, and when it was asked for in monotonic seconds."""
+    """An update and the time of its request, in monotonic seconds."""
 
     update: ConfigurationNews
     requested_at: float
@@ -16,10 +16,11 @@
 
 @dataclass
 class InitialReplies:
-    """The last reply of each replica to a VM that has just started.
+    """Last reply of each control replica to a VM that has just started.
 
-    Once a majority has told its revision, the newest of them is older than
-    what was accepted only where a replica of the rest alone knows of that.
+    Once a majority has replied with a revision, the newest of these is older
+    than the newest accepted one only if a replica outside that majority is the
+    only one that has it.
 
     Examples
     --------
@@ -41,13 +42,13 @@
     replies: dict[Address, UpdateReply] = field(default_factory=dict)
 
     def record(self, address: Address, reply: UpdateReply) -> None:
-        """Note a reply."""
+        """Store the reply of a replica."""
         self.replies[address] = reply
 
     def has_majority(self, replica_count: int) -> bool:
-        """Tell whether more than half of the replicas told a revision.
+        """Return whether more than half of the replicas sent a revision.
 
-        One that has lost its disk tells none, and is no vote.
+        A replica that has lost its disk sends none and is not counted.
         """
         with_revision = sum(
             bool(reply.update.revision) for reply in self.replies.values()
--- a/godwitshunt/configuration/maintenance.py
+++ b/godwitshunt/configuration/maintenance.py
@@ -1,4 +1,8 @@
-"""What a leader commits by itself: VMs, claim holders, confirmations; pure."""
+"""Commands that a leader proposes by itself; no I/O.
+
+These are admissions and removals of VMs, changes of claim holders and
+confirmations of manifests.
+"""
 
 from collections.abc import Iterator, Mapping
 
@@ -16,8 +20,8 @@
 from godwitshunt.configuration.state import ControlState
 
 MAX_HOLDERS = 5
-# Longest isolation lease that settings allow, and a margin for clocks that
-# run at slightly different speeds.
+# Longest isolation lease that the settings allow, and a margin for clocks that
+# run at slightly different rates.
 ISOLATION_LEASE_LIMIT_S = 10.0
 CLOCK_MARGIN_S = 1.0
 ABSENT_AFTER_S = 3600.0
@@ -30,21 +34,21 @@
     leading_since: float,
     now: float,
 ) -> Iterator[Command]:
-    """Give what the leader should commit now.
+    """Yield the commands that the leader should propose now.
 
     Parameters
     ----------
     state : ControlState
-        As applied.
+        The applied state.
     heartbeats : HeartbeatTable
-        The VMs' heartbeats.
+        Last heartbeats of the VMs.
     seen_at : mapping
         When this leader first saw each pending number as committed, in
         monotonic seconds.
     leading_since : float
-        When this replica began to lead, in monotonic seconds.
+        When this replica became leader, in monotonic seconds.
     now : float
-        Monotonic seconds.
+        Current time in monotonic seconds.
     """
     changed_vms = tuple(
         heartbeat.vm
@@ -76,8 +80,8 @@
 ) -> tuple[AwaitedVm, ...]:
     """Return the VMs that a number's acceptance still waits for.
 
-    A VM that was taken out by an operator is known to have stopped. One that
-    is silent is isolated at the latest one lease after the commit, since any
+    A VM that an operator removed is known to have stopped. One without
+    heartbeats is isolated at the latest one lease after the commit, since any
     later proof of a quorum would have brought it the revision.
     """
     record = state.numbers[number]
@@ -92,7 +96,7 @@
 
 
 def is_running(state: ControlState, name: str) -> bool:
-    """Tell whether a VM may be running: no operator said that it stopped."""
+    """Return whether a VM may be running: no operator has removed it."""
     return name in state.document.section('vms') or name in state.absent
 
 
@@ -102,11 +106,11 @@
     leading_since: float,
     now: float,
 ) -> tuple[str, ...]:
-    """Return the VMs that were silent for long.
+    """Return the VMs without a heartbeat for `ABSENT_AFTER_S`.
 
     Without this the list of VMs would grow with every VM that is replaced
-    under another name. A new leader waits as long before it judges: it may
-    not have been told of what its predecessor heard.
+    under another name. A new leader waits for the same time first, since it
+    may not know the last heartbeats that its predecessor received.
     """
     return tuple(
         name
@@ -121,7 +125,7 @@
     heartbeats: HeartbeatTable,
     now: float,
 ) -> Iterator[ChangeHolders]:
-    """Give the claim holders of each region that has to change them."""
+    """Yield the new claim holders of each region whose holders must change."""
     vms = state.document.section('vms').values()
     for region in sorted({vm['region'] for vm in vms}):
         holders = state.document.section('holders').values()
@@ -144,10 +148,10 @@
 ) -> tuple[str, ...]:
     """Choose a region's claim holders.
 
-    A holder stays while it is live, since each change makes keys of earlier
-    generations wait on the old holders. A silent one is replaced only by a
-    live VM that is none yet, never dropped without another in its place:
-    fewer holders would make a majority easier to lose, not harder.
+    A live holder stays, since after a change the keys of earlier generations
+    still depend on the old holders. One that is not live is only replaced by a
+    live VM, never removed without a replacement: with fewer holders a majority
+    would be easier to lose.
     """
     vms = state.document.section('vms')
     region_vms = [vm for vm in vms.values() if vm['region'] == region]
@@ -168,5 +172,8 @@
 
 
 def holder_rank(vm: Mapping) -> tuple[bool, str]:
-    """Order candidates: the control replica, which has a disk, first."""
+    """Return the sort key of a candidate.
+
+    Control replicas come first because they have a disk.
+    """
     return vm['role'] != VmRole.control.value, vm['name']
--- a/godwitshunt/configuration/manifest_numbers.py
+++ b/godwitshunt/configuration/manifest_numbers.py
@@ -1,4 +1,4 @@
-"""Manifest numbers: one contents each, and the same answer for ever."""
+"""Acceptance of manifests: one manifest and one answer for each number."""
 
 from dataclasses import replace
 from itertools import chain
@@ -41,7 +41,7 @@
 
 
 def accept_command(state: ControlState, manifest: Manifest) -> AcceptManifest:
-    """Return the command for a manifest, with a delta where there is a base."""
+    """Return the command for a manifest, as a delta if a base exists."""
     document = document_of(manifest)
     digest = manifest_digest_of(document)
     base = state.document
@@ -57,7 +57,7 @@
 
 
 def accept_manifest(state: ControlState, command: AcceptManifest) -> Step:
-    """Accept a manifest, or answer for the number's first contents."""
+    """Accept a manifest, or return the answer for a number already used."""
     earlier = existing_answer(state, command.number, command.digest)
     if earlier is not None:
         return state, earlier
@@ -81,11 +81,12 @@
     number: int,
     digest: str,
 ) -> ManifestOutcome | None:
-    """Return the answer for a number that is taken or passed.
+    """Return the answer for a number that is used or too low, else None.
 
-    An operator who lost the answer sends the same manifest again, perhaps
-    long after; he must get the first answer and change nothing. Two operators
-    who race under one number must not both be told that theirs is in force.
+    An operator who did not receive the answer sends the same manifest again,
+    perhaps much later, and must get the first answer without any change. Of
+    two operators who race for one number, only one may be told that the
+    manifest is accepted.
     """
     known = state.numbers.get(number)
     if known is not None and known.digest == digest:
@@ -110,7 +111,7 @@
     *,
     repeated: bool,
 ) -> Accepted | Pending:
-    """Return the answer for a number that stands in the state."""
+    """Return the current answer for a number in the state."""
     known = state.numbers[number]
     if known.awaited:
         return Pending(number, known.digest, known.revision, known.awaited)
@@ -130,7 +131,7 @@
     base: Document,
     command: AcceptManifest,
 ) -> Result[Document, DocumentFault]:
-    """Return the base with the command's manifest in it."""
+    """Return the base document with the manifest of the command."""
     match unpack(command.body):
         case Err(fault):
             return Err(fault)
@@ -148,7 +149,7 @@
     command: AcceptManifest,
     fields: dict[str, Any],
 ) -> Result[Document, DocumentFault]:
-    """Read a whole manifest or a delta, leaving VMs and holders as they are."""
+    """Read a full manifest or a delta; VMs and holders stay unchanged."""
     if command.base_digest:
         return patch(base, fields)
     whole = document_from_plain(fields)
@@ -165,7 +166,7 @@
     command: AcceptManifest,
     document: Document,
 ) -> Step:
-    """Put an accepted manifest in force and remember its number."""
+    """Make a manifest part of the next revision and store its number."""
     awaited = all_awaited_vms(state, document)
     state = state.with_document(document)
     record = NumberRecord(command.digest, state.revision, awaited)
@@ -189,8 +190,8 @@
 ) -> tuple[AwaitedVm, ...]:
     """Return the VMs that a manifest's acceptance waits for.
 
-    Among them are those that earlier numbers still wait for: a region that
-    number 2 takes away is not lost once more by number 3, but a VM that has
+    They include those that earlier numbers still wait for: if number 2
+    removes a region, number 3 does not remove it again, but a VM that has
     applied neither of them still serves there.
     """
     lease_suffices: dict[str, bool] = {}
@@ -205,7 +206,7 @@
 
 
 def confirm_manifest(state: ControlState, number: int) -> Step:
-    """Accept a pending manifest for good."""
+    """Accept a pending manifest."""
     known = state.numbers.get(number)
     if known is None:
         return state, NumberTooOld(
--- a/godwitshunt/configuration/members.py
+++ b/godwitshunt/configuration/members.py
@@ -1,4 +1,4 @@
-"""Admitted VMs and the claim holders of each region."""
+"""Transitions of the admitted VMs and of each region's claim holders."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -14,7 +14,7 @@
 
 
 def change_vms(state: ControlState, command: ChangeVms) -> Step:
-    """Admit and remove VMs; without a difference the revision stays."""
+    """Admit and remove VMs; without a change the revision stays."""
     before = state.document.section('vms')
     removed_names = {*command.removed, *command.absent}
     after = {
@@ -33,7 +33,8 @@
 def absent_after(state: ControlState, command: ChangeVms) -> dict[str, str]:
     """Return the absent VMs after a change.
 
-    One that an operator removes has stopped; one that is admitted is back.
+    A VM is no longer absent once an operator removes it, which means that it
+    has stopped, or once it is admitted again.
     """
     vms = state.document.section('vms')
     absent = dict(state.absent)
@@ -53,10 +54,10 @@
 ) -> Step:
     """Begin a new generation of a region's claim holders.
 
-    A VM that restarts has another session and may have forgotten votes; a new
-    generation, in which nobody voted yet, lets it vote at once. Keys stay
-    bound to the generation that they were stamped under; the last
-    `MAX_GENERATIONS` stay listed so that their claims can still be found.
+    A restarted VM has a new session and may have lost its votes; in a new
+    generation, without any votes yet, it can vote at once. Keys stay bound to
+    the generation of their stamp; the last `MAX_GENERATIONS` stay listed so
+    that their claims can still be found.
     """
     before = state.document.section('holders')
     region_sets = [
@@ -84,7 +85,7 @@
 
 
 def sessions_of(state: ControlState, names: tuple[str, ...]) -> list[str]:
-    """Return the committed session of each named VM."""
+    """Return the committed session of each VM, empty for an unknown one."""
     vms = state.document.section('vms')
     return [vms.get(name, {}).get('session', '') for name in names]
 
@@ -94,5 +95,5 @@
     names: tuple[str, ...],
     sessions: list[str],
 ) -> bool:
-    """Tell whether a generation has these holders in these sessions."""
+    """Return whether a generation has these holders and sessions."""
     return entry['names'] == list(names) and entry['sessions'] == sessions
--- a/godwitshunt/configuration/operator_api.py
+++ b/godwitshunt/configuration/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators ask of a control replica over HTTP."""
+"""HTTP API of a control replica for operators."""
 
 import hashlib
 import hmac
@@ -54,26 +54,26 @@
 
 
 def answer(document: dict[str, Any], status: int = HTTP_OK) -> OperatorAnswer:
-    """Return a JSON answer."""
+    """Return a JSON answer with the given status."""
     return OperatorAnswer(status, json.dumps(document).encode())
 
 
 def refusal(problem: OperatorProblem) -> OperatorAnswer:
-    """Return a problem answer."""
+    """Return the answer for a problem."""
     return OperatorAnswer(problem.status, problem.body(), PROBLEM_TYPE)
 
 
 class OperatorApi:
-    """Checks the token, chooses the route, passes calls on to the leader.
+    """Authenticates and routes calls, and forwards them to the leader.
 
     Parameters
     ----------
     service : ConfigurationService
-        Of this replica.
+        Configuration service of this replica.
     token_sha256 : str
-        SHA-256 of the operators' token, in hexadecimal.
+        SHA-256 of the operator token, in hexadecimal.
     cluster : Cluster or None
-        The replicas of the log; None where it is not replicated.
+        Replicas of the log; None if it is not replicated.
     """
 
     def __init__(
@@ -103,24 +103,24 @@
         }
 
     def add_route(self, method: str, path: str, route: Route) -> None:
-        """Answer one more path; for slices that build on this one."""
+        """Register a route of another component."""
         self.routes[method, path] = route
 
     def add_status(self, part: StatusPart) -> None:
-        """Add a part to the status document."""
+        """Register a callable whose fields extend the status document."""
         self.status_parts.append(part)
 
     def start(self) -> None:
-        """Take the calls that other replicas pass on."""
+        """Accept the calls that other replicas forward."""
         self.service.links.subscribe(MessageKind.operator_call, self.on_call)
 
     async def serve(self, request: HttpRequest, writer: AnswerWriter) -> None:
-        """Answer one request of the listener."""
+        """Answer a request of the HTTP listener."""
         outcome = await self.handle(read_request(request))
         await writer.whole(whole_answer(outcome))
 
     async def handle(self, request: OperatorRequest) -> OperatorAnswer:
-        """Answer one operator's request."""
+        """Answer an operator's request, after checking the token."""
         plain = self.answer_without_token(request)
         if plain is not None:
             return plain
@@ -133,7 +133,7 @@
         return await self.handle_trusted(request)
 
     async def handle_trusted(self, request: OperatorRequest) -> OperatorAnswer:
-        """Answer a request whose sender is known to be an operator."""
+        """Answer an authenticated request, locally or through the leader."""
         local = await self.answer_locally(request)
         if local.status == HTTP_UNAVAILABLE:
             return await self.forward(request, local)
@@ -142,7 +142,7 @@
     def answer_without_token(
         self, request: OperatorRequest
     ) -> OperatorAnswer | None:
-        """Answer the paths that need no token."""
+        """Answer the paths that require no token; None for others."""
         match (request.method, request.path):
             case ('GET', '/metrics'):
                 return OperatorAnswer(
@@ -161,7 +161,7 @@
         return None
 
     async def answer_locally(self, request: OperatorRequest) -> OperatorAnswer:
-        """Answer from this replica."""
+        """Answer from this replica without forwarding."""
         route = self.route(request)
         if route is None:
             return refusal(
@@ -174,7 +174,7 @@
         return await route(request)
 
     def route(self, request: OperatorRequest) -> Route | None:
-        """Return what answers a path."""
+        """Return the handler of a request; None if no route matches."""
         exact = self.routes.get((request.method, request.path))
         if exact is not None:
             return exact
@@ -188,10 +188,10 @@
         request: OperatorRequest,
         local: OperatorAnswer,
     ) -> OperatorAnswer:
-        """Pass a call to the other replicas until one of them leads.
+        """Forward a call to the other replicas until one of them is the leader.
 
-        Every call that changes something carries a number or a name, so that
-        a second replica may be asked where the first one's reply was lost.
+        Every call that makes a change carries a number or a name and is
+        idempotent, so the next replica may be tried after a lost reply.
         """
         call = ttypes.OperatorCall(request.method, request.path, request.body)
         for address in self.forward_order():
@@ -213,10 +213,10 @@
         return local
 
     def forward_order(self) -> tuple[Address, ...]:
-        """Return the leader alone where it is known, else every other VM.
+        """Return the leader alone if it is known, else the other replicas.
 
-        Asking the others in turn takes a timeout for each that is lost, and
-        by then whoever asked has given up.
+        Trying the others in turn costs one timeout for each that is down,
+        after which the client has given up.
         """
         leader = self.service.log.leadership().name
         vms = self.service.state.document.section('vms')
@@ -226,7 +226,7 @@
         return self.service.others
 
     async def on_call(self, sender: str, body: bytes) -> bytes:
-        """Answer a call that another replica passed on."""
+        """Answer a call that another replica forwarded."""
         call = decode(ttypes.OperatorCall, body)
         require_fields(call, 'method', 'path', 'body')
         request = OperatorRequest(call.method, call.path, '', call.body)
@@ -234,7 +234,7 @@
         return encode(ttypes.OperatorReply(local.status, local.body))
 
     async def apply(self, request: OperatorRequest) -> OperatorAnswer:
-        """Accept a manifest."""
+        """Validate and commit the manifest in the request body."""
         try:
             manifest = parse_manifest(request.body, BODY)
         except DocumentError as invalid:
@@ -242,7 +242,7 @@
         return self.manifest_answer(await self.service.accept(manifest))
 
     async def read_manifest(self, request: OperatorRequest) -> OperatorAnswer:
-        """Give back the newest manifest, once no newer can be committed."""
+        """Return the newest manifest, after a read barrier."""
         barrier = await self.service.log.read_barrier()
         if isinstance(barrier, Err):
             return refusal(problem_of(barrier.err_value))
@@ -265,7 +265,7 @@
         return answer({'failure_domain': name, **asdict(outcome.ok_value)})
 
     def manifest_answer(self, committed: Ok | Err) -> OperatorAnswer:
-        """Return the answer for a manifest's outcome."""
+        """Return the answer for the outcome of accepting a manifest."""
         if isinstance(committed, Err):
             return refusal(problem_of(committed.err_value))
         outcome = committed.ok_value
@@ -285,7 +285,7 @@
                 return refusal(problem_of(outcome))
 
     async def status(self, request: OperatorRequest) -> OperatorAnswer:
-        """Tell who has what, and whether the quorum lives."""
+        """Return the revisions of all VMs and the state of the quorum."""
         leadership = self.service.log.leadership()
         document = status_document(
             self.service.state,
@@ -300,7 +300,7 @@
         )
 
     async def explain(self, request: OperatorRequest) -> OperatorAnswer:
-        """Tell where a caller's request may go, and by which rule."""
+        """Explain where a request may be served, and by which rule."""
         try:
             document = self.explanation(json.loads(request.body))
         except MALFORMED_ERRORS as error:
@@ -310,7 +310,7 @@
         return answer(document)
 
     def explanation(self, query: dict[str, Any]) -> dict[str, Any]:
-        """Explain a caller's request of a service, or one of a route."""
+        """Explain a caller's request to a service, or one to a route."""
         match query:
             case {'host': host, 'path': path}:
                 return explain_route(
@@ -327,7 +327,7 @@
         )
 
     async def init(self, request: OperatorRequest) -> OperatorAnswer:
-        """Make the cluster, once; only the first named replica does."""
+        """Initialise the cluster; only the first named replica does so."""
         if self.cluster is None:
             return answer({'outcome': 'initialised'})
         if not self.cluster.is_first:
@@ -338,7 +338,7 @@
         return answer({'outcome': 'initialised', **self.cluster.describe()})
 
     async def replace(self, request: OperatorRequest) -> OperatorAnswer:
-        """Put a replica with an empty folder in the place of a lost one."""
+        """Replace a lost replica by one with an empty data folder."""
         path = request.path.removeprefix('/v1/replicas/')
         if self.cluster is None:
             return refusal(problem_of(NotLeader(None)))
@@ -360,7 +360,7 @@
         return answer({'outcome': 'replaced', **self.cluster.describe()})
 
     async def remove_vm(self, request: OperatorRequest) -> OperatorAnswer:
-        """Take out a VM that the operator knows to have stopped."""
+        """Remove a VM that the operator reports as stopped."""
         name = request.path.removeprefix('/v1/vms/').removesuffix('/remove')
         outcome = await self.service.propose(ChangeVms(removed=(name,)))
         if isinstance(outcome, Err):
--- a/godwitshunt/configuration/operator_client.py
+++ b/godwitshunt/configuration/operator_client.py
@@ -1,4 +1,4 @@
-"""Operators' calls to whichever control replica answers."""
+"""Client for the operator API that tries each control replica."""
 
 import json
 import ssl
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class OperatorReply:
-    """The answer of a replica that could act."""
+    """Answer of a replica that processed the call."""
 
     status: int
     document: dict[str, Any]
@@ -28,16 +28,16 @@
 
 @dataclass(frozen=True)
 class Unreachable:
-    """No replica acted; nothing was changed."""
+    """No replica processed the call; nothing was changed."""
 
     reasons: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class OutcomeLost:
-    """A replica may have acted and its answer was lost.
+    """A replica may have processed the call, but its answer was lost.
 
-    Sending the same call again is safe and tells what became of it.
+    The same call can be sent again safely and returns its outcome.
     """
 
     reasons: tuple[str, ...]
@@ -52,10 +52,10 @@
     token: str,
     tls: ssl.SSLContext | None = None,
 ) -> Result[OperatorReply, OperatorFailure]:
-    """Ask each control replica until one can act.
+    """Try the control replicas in turn until one processes the call.
 
-    Every call that changes something is safe to repeat, so after a lost
-    answer the next replica is asked; it gives the first answer again.
+    Every call that makes a change is idempotent, so after a lost answer the
+    next replica is tried; it returns the first answer again.
     """
     headers = (('authorization', f'Bearer {token}'), *call.headers)
     call = replace(call, headers=headers)
@@ -77,7 +77,7 @@
 
 
 def read_document(body: bytes) -> dict[str, Any]:
-    """Return the JSON document of an answer; empty where it is none."""
+    """Return the JSON object of an answer, empty if it is not one."""
     try:
         document = json.loads(body)
     except ValueError:
--- a/godwitshunt/configuration/operator_http.py
+++ b/godwitshunt/configuration/operator_http.py
@@ -1,4 +1,4 @@
-"""Operators' requests and answers, on the listener of the exchange slice."""
+"""Requests and answers of the operator API on the HTTP listener."""
 
 from dataclasses import dataclass
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True)
 class OperatorRequest:
-    """One whole request.
+    """One complete request.
 
     Parameters
     ----------
     token : str
-        From the ``Authorization`` header; empty without one.
+        Bearer token of the ``Authorization`` header, empty without one.
     """
 
     method: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class OperatorAnswer:
-    """One whole answer."""
+    """One complete answer."""
 
     status: int
     body: bytes
@@ -34,7 +34,7 @@
 
 
 def read_request(request: HttpRequest) -> OperatorRequest:
-    """Return what an operator asks."""
+    """Return the operator request of an HTTP request."""
     credentials = request.header(b'authorization') or ''
     return OperatorRequest(
         method=request.method,
@@ -45,6 +45,6 @@
 
 
 def whole_answer(answer: OperatorAnswer) -> WholeAnswer:
-    """Return an answer for the listener."""
+    """Return an answer in the form that the listener sends."""
     headers = ((b'content-type', answer.content_type.encode()),)
     return WholeAnswer(answer.status, headers, answer.body)
--- a/godwitshunt/configuration/orders.py
+++ b/godwitshunt/configuration/orders.py
@@ -1,4 +1,4 @@
-"""Orders to upstreams: one fencing number each, given once."""
+"""Orders to upstreams, each with one fencing number."""
 
 from dataclasses import replace
 
@@ -14,7 +14,7 @@
 
 
 def issue_order(state: ControlState, command: IssueOrder) -> Step:
-    """Give an order its fencing number, once."""
+    """Issue an order under the next fencing number, once per name."""
     known = state.orders.get(command.order)
     if known is not None:
         return state, repeated_order(known, command)
@@ -39,7 +39,7 @@
 
 
 def drop_oldest(orders: dict[str, OrderIssued]) -> None:
-    """Drop the oldest order that is finished, else the oldest of all."""
+    """Remove the oldest finished order, else the oldest of all."""
     finished = (
         name
         for name, issued in orders.items()
@@ -53,7 +53,7 @@
     order: str,
     ending: OrderEnding,
 ) -> Step:
-    """Note an upstream's answer, so that no later leader sends it again."""
+    """Record an upstream's answer, so that no leader resends the order."""
     known = state.orders.get(order)
     if known is None:
         return state, OrderUnknown(order)
@@ -63,7 +63,7 @@
 
 
 def repeated_order(known: OrderIssued, command: IssueOrder) -> Outcome:
-    """Answer for an order whose name was used before."""
+    """Return the answer for an order whose name was used before."""
     original = (known.upstream, known.action, known.subject)
     if original == (command.upstream, command.action, command.subject):
         return replace(known, repeated=True)
--- a/godwitshunt/configuration/poll_order.py
+++ b/godwitshunt/configuration/poll_order.py
@@ -1,4 +1,4 @@
-"""Whom a VM asks for news, in which order; pure."""
+"""Order in which a VM polls control replicas and peers; no I/O."""
 
 from collections.abc import Iterator
 from zlib import crc32
@@ -13,18 +13,21 @@
     control: tuple[Address, ...],
     last_good: Address | None,
 ) -> tuple[Address, ...]:
-    """Return control replicas: the own region's, the last good one, the rest.
+    """Return the control replicas in the order in which to poll them.
+
+    Replicas of the VM's region come first, then the one that last proved a
+    quorum, then the others.
 
     Parameters
     ----------
     current : Revision or None
-        In force; tells the regions of control replicas.
+        The active revision, which holds the regions of control replicas.
     record : VmRecord
-        The VM that asks.
+        The VM that polls.
     control : tuple of Address
         All control replicas.
     preferred : Address or None
-        The one that proved a quorum last.
+        The replica that last proved a quorum.
     """
     local = [
         vm.peer
@@ -32,8 +35,8 @@
         if vm.peer in control
     ]
     preferred = [] if last_good is None else [last_good]
-    # Without the turn every VM of a region that has no control replica would
-    # speak to the one that the settings name first.
+    # Without the rotation all VMs of a region without a control replica would
+    # poll the replica that the settings name first.
     round_index = crc32(record.name.encode()) % max(1, len(control))
     rotated = (*control[round_index:], *control[:round_index])
     return tuple(dict.fromkeys([*local, *preferred, *rotated]))
@@ -43,10 +46,10 @@
     current: Revision | None,
     configured: tuple[Address, ...],
 ) -> tuple[Address, ...]:
-    """Return the control replicas that settings name and that are listed.
+    """Return the control replicas of the settings and of the revision.
 
-    Settings may name a few only, and those may be gone; a revision lists all
-    that were admitted.
+    The settings may name only some replicas, and these may have been removed;
+    a revision lists all admitted ones.
     """
     listed = () if current is None else current.vms
     peers = [vm.peer for vm in listed if vm.role is VmRole.control]
@@ -59,12 +62,14 @@
     configured: tuple[Address, ...],
     round_index: int,
 ) -> tuple[Address, ...]:
-    """Return the region's VMs, beginning with another one at each turn.
+    """Return the entry VMs of the region, rotated by `round_index`.
 
     Parameters
     ----------
     configured : tuple of Address
         Peers that the settings name, for a start without a revision.
+    round_index : int
+        Number of the poll round; each round begins with another peer.
     """
     listed = [vm.peer for vm in region_vms(current, record, VmRole.entry)]
     peers = [
@@ -81,7 +86,7 @@
     record: VmRecord,
     role: VmRole,
 ) -> Iterator[VmRecord]:
-    """Give the region's VMs of a role, as far as they are known."""
+    """Yield the VMs of a role in the region that the revision lists."""
     if current is None:
         return
     for vm in current.vms:
--- a/godwitshunt/configuration/problems.py
+++ b/godwitshunt/configuration/problems.py
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True)
 class OperatorProblem:
-    """One refusal.
+    """A refused call.
 
     Parameters
     ----------
     slug : str
-        Last part of the problem type.
+        Last part of the problem type URI.
     outcome : str
-        ``not-run`` where nothing was changed, else ``unknown``.
+        ``not-run`` if nothing was changed, else ``unknown``.
     extra : dict
         Further members of the problem document.
     """
@@ -65,7 +65,7 @@
 
 
 def invalid_document(invalid: DocumentError) -> OperatorProblem:
-    """Return the refusal that names every wrong field."""
+    """Return the problem that lists every invalid field."""
     problems = [asdict(problem) for problem in invalid.problems]
     return OperatorProblem(
         'invalid-document',
@@ -76,7 +76,7 @@
 
 
 def problem_of(failure: object) -> OperatorProblem:
-    """Return the refusal for a typed failure."""
+    """Return the problem for a typed failure."""
     known = command_problem(failure) or log_problem(failure)
     if known is not None:
         return known
@@ -87,7 +87,7 @@
 
 
 def command_problem(failure: object) -> OperatorProblem | None:
-    """Return the refusal for an outcome of the control state."""
+    """Return the problem for an outcome of the control state."""
     match failure:
         case NumberConflict():
             return conflict_problem(failure)
@@ -108,7 +108,7 @@
 
 
 def log_problem(failure: object) -> OperatorProblem | None:
-    """Return the refusal for a proposal that was not committed."""
+    """Return the problem for a proposal that was not committed."""
     match failure:
         case NotLeader(leader):
             return OperatorProblem(
@@ -138,7 +138,7 @@
 
 
 def cluster_problem(failure: object) -> OperatorProblem | None:
-    """Return the refusal for a change of the cluster's replicas."""
+    """Return the problem for a failed change of the cluster's replicas."""
     match failure:
         case AlreadyInitialised(replica):
             return OperatorProblem(
@@ -170,7 +170,7 @@
 
 
 def change_problem(failure: object) -> OperatorProblem | None:
-    """Return the refusal for a voter change that was not begun."""
+    """Return the problem for a voter change that was not started."""
     match failure:
         case ChangeUnderway():
             return OperatorProblem(
@@ -200,7 +200,7 @@
 
 
 def conflict_problem(conflict: NumberConflict) -> OperatorProblem:
-    """Return the refusal that names the manifest which won."""
+    """Return the problem that identifies the accepted manifest."""
     return OperatorProblem(
         'number-conflict',
         409,
--- a/godwitshunt/configuration/region_removals.py
+++ b/godwitshunt/configuration/region_removals.py
@@ -1,8 +1,8 @@
-"""Which VMs a manifest's acceptance waits for.
+"""VMs that have to apply a manifest before it is accepted.
 
-A manifest may take a region away from a caller or a model. Until the VMs of
-that region have applied it, one of them may still serve there by the older
-rule, so it must not be called accepted before.
+A manifest may remove a region from a caller or a model. Until the VMs of that
+region have applied it, one of them may still serve there by the older rule, so
+the manifest must not be reported as accepted earlier.
 """
 
 from collections.abc import Iterator, Mapping
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True)
 class RegionRemoval:
-    """A region that a caller or a model loses.
+    """Removal of a region from a caller or a model.
 
     Parameters
     ----------
     serves_while_isolated : bool
-        True where a VM of that region would by the older rule serve the
-        caller also while it is isolated.
+        True if by the older rule a VM of that region serves the caller even
+        while it is isolated.
     """
 
     region: str
@@ -33,12 +33,13 @@
     after: Document,
     absent: Mapping[str, str],
 ) -> tuple[AwaitedVm, ...]:
-    """Return the VMs of regions that lose a caller or a model.
+    """Return the VMs of the regions that are removed from a caller or model.
 
     Parameters
     ----------
     absent : mapping
-        Region of each VM that was silent for long and may be cut off.
+        Region of each VM that left the list without a heartbeat and may be
+        partitioned.
     """
     lost: dict[str, bool] = {}
     for removal in region_removals(before, after):
@@ -59,7 +60,7 @@
 def region_removals(
     before: Document, after: Document
 ) -> Iterator[RegionRemoval]:
-    """Give every region that a caller or a model loses."""
+    """Yield every removal of a region from a caller or a model."""
     yield from caller_removals(before, after)
     for name, model in before.section('models').items():
         later = after.section('models').get(name)
@@ -73,7 +74,7 @@
     before: Document,
     after: Document,
 ) -> Iterator[RegionRemoval]:
-    """Give the regions that callers lose, once for each kind of change."""
+    """Yield the removals from callers, once for each distinct change."""
     old_rules = rule_regions(before)
     new_rules = rule_regions(after)
     later_callers = after.section('callers')
@@ -88,7 +89,7 @@
 
 
 def rule_regions(document: Document) -> dict[str | None, frozenset[str]]:
-    """Return the regions of each residency rule; None is no rule."""
+    """Return the regions of each residency rule; None stands for no rule."""
     everywhere = frozenset(document.section('regions'))
     rules = {
         name: frozenset(rule['regions'])
--- a/godwitshunt/configuration/replicated_log.py
+++ b/godwitshunt/configuration/replicated_log.py
@@ -1,4 +1,4 @@
-"""What this slice asks of a replicated log, and a log for one process."""
+"""Interface of the replicated log, and a log for a single process."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -18,7 +18,10 @@
 
 
 class ReplicatedLog(Protocol):
-    """Entries in one order on every replica; `ConsensusTask` is one."""
+    """Log with the same order of entries on every replica.
+
+    `ConsensusTask` implements it.
+    """
 
     async def propose(
         self,
@@ -30,7 +33,7 @@
         """Wait until the state includes every commit before the call."""
 
     def leadership(self) -> Leadership:
-        """Tell who leads and how old the last proof of a quorum is."""
+        """Return the leader and the age of the last proof of a quorum."""
 
     def subscribe(
         self,
@@ -38,14 +41,14 @@
         take_snapshot: TakeSnapshot | None = None,
         install_snapshot: InstallSnapshot | None = None,
     ) -> None:
-        """Give every committed entry, in order, once."""
+        """Call back for every committed entry, once and in order."""
 
 
 class SingleLog:
-    """A log of one process, without copies and without a disk.
+    """Log of a single process, without replication or persistence.
 
-    It stands in for the replicated log in tests and in programs that embed
-    the configuration without agreement.
+    It replaces the replicated log in tests and in programs that run the
+    configuration without consensus.
     """
 
     def __init__(self, name: str) -> None:
@@ -76,7 +79,7 @@
         return Ok(Committed(len(self.entries)))
 
     def leadership(self) -> Leadership:
-        """Tell whether this process leads."""
+        """Return this process as leader, or none."""
         if not self.leading:
             return Leadership(None, self.term, False, 0, float('inf'))
         return Leadership(self.name, self.term, True, self.lease_s, 0)
@@ -87,5 +90,5 @@
         take_snapshot: TakeSnapshot | None = None,
         install_snapshot: InstallSnapshot | None = None,
     ) -> None:
-        """Give every later entry to a state machine."""
+        """Call back for every entry appended from now on."""
         self.subscribers.append(apply_callback)
--- a/godwitshunt/configuration/revision.py
+++ b/godwitshunt/configuration/revision.py
@@ -1,4 +1,4 @@
-"""What is in force: one revision of the whole configuration."""
+"""Revisions of the configuration and the records that they hold."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class VmRole(StrEnum):
-    """What a VM's process does."""
+    """Role of a VM's process."""
 
     entry = 'entry'
     control = 'control'
@@ -22,14 +22,13 @@
     Parameters
     ----------
     name, region, failure_domain : str
-        As in the VM's settings.
+        From the VM's settings.
     role : VmRole
         Entry or control process.
     http, peer : Address
-        Where callers and where peers reach it.
+        Addresses for callers and for peers.
     session : str
-        Drawn anew at each start of the process; empty where it keeps no
-        claims.
+        Random, new at each start of the process; empty if it holds no claims.
     """
 
     name: str
@@ -45,19 +44,18 @@
 class HolderSet:
     """The claim holders of a region under one generation number.
 
-    A key is bound for ever to the generation that it was stamped under, so
-    that two VMs with different views of the holders never count different
-    majorities for one key.
+    A key stays bound to the generation of its stamp, so that two VMs with
+    different views of the holders never count different majorities for one
+    key.
 
     Parameters
     ----------
     names : tuple of str
-        The holders' VMs; never changed under one generation.
+        VMs that hold claims; fixed within a generation.
     sessions : tuple of str
-        For each name, the session (drawn at the process's start, told in its
-        heartbeats) that was running when the set was committed. A process of
-        another session may have forgotten votes of the one that is listed,
-        and abstains until it has recovered.
+        For each name, the session of the VM's process when the set was
+        committed. A process with another session may have lost votes of the
+        listed one and abstains until it has recovered.
     """
 
     region: str
@@ -73,7 +71,7 @@
     Parameters
     ----------
     revision : int
-        Position in the order of accepted changes; only a higher one applies.
+        Position in the order of committed changes; it only rises on a VM.
     digest : str
         SHA-256 of the manifest's canonical form, in hexadecimal.
     manifest : Manifest
@@ -81,9 +79,9 @@
     vms : tuple of VmRecord
         Every admitted VM.
     holders : tuple of HolderSet
-        Current and still valid earlier claim holders of each region.
+        Current and still valid earlier claim holder sets of each region.
     evacuated : frozenset of str
-        Failure domains whose upstreams get nothing.
+        Failure domains whose upstreams receive no requests.
     """
 
     revision: int
--- a/godwitshunt/configuration/revision_file.py
+++ b/godwitshunt/configuration/revision_file.py
@@ -1,4 +1,4 @@
-"""The newest revision on a VM's disk, for a restart while it is isolated."""
+"""Newest revision on a VM's disk, for a restart during isolation."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -19,37 +19,45 @@
 
 @dataclass(frozen=True)
 class RevisionFile:
-    """One file that always holds one whole revision."""
+    """File that holds the newest persisted revision.
+
+    Parameters
+    ----------
+    folder : Path
+        Data folder of the process.
+    """
 
     folder: Path
 
     @property
     def file(self) -> KeptFile:
-        """Where the revision is kept."""
+        """File that is replaced atomically at each write."""
         return KeptFile(self.folder / FILE_NAME, MAGIC)
 
     def read(self) -> DocumentRevision | None:
-        """Return the kept revision; None where there is none that is whole.
+        """Return the persisted revision; None if it is missing or corrupt.
 
         Raises
         ------
         StorageError
-            Where the folder exists but cannot be read.
+            If the folder exists but cannot be read.
         """
-        kept = self.file.read()
-        read = None if kept is None else unpack_document(kept.body)
-        if isinstance(read, Ok):
-            document = read.ok_value
-            return DocumentRevision(kept.number, digest_of(document), document)
+        record = self.file.read()
+        decoded = None if record is None else unpack_document(record.body)
+        if isinstance(decoded, Ok):
+            document = decoded.ok_value
+            return DocumentRevision(
+                record.number, digest_of(document), document
+            )
         return None
 
-    def write(self, held: DocumentRevision) -> None:
-        """Keep a revision; it is on the disk when this returns.
+    def write(self, revision: DocumentRevision) -> None:
+        """Persist a revision; it is on disk when this returns.
 
         Raises
         ------
         StorageError
-            Where the disk is full or cannot be written.
+            If the disk is full or cannot be written.
         """
-        body = pack_document(held.document)
-        self.file.write(KeptRecord(held.revision, body))
+        body = pack_document(revision.document)
+        self.file.write(KeptRecord(revision.revision, body))
--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -1,4 +1,4 @@
-"""The control side: accepts manifests and distributes revisions."""
+"""Control replica side: acceptance of manifests and distribution."""
 
 import asyncio
 from typing import Self
@@ -58,24 +58,24 @@
 
 
 class ConfigurationService:
-    """Accepts manifests through the log and tells VMs what is in force.
+    """Accepts manifests through the log and sends revisions to VMs.
 
     Parameters
     ----------
     record : VmRecord
-        This control replica.
+        Record of this control replica.
     others : tuple of Address
-        Peer addresses of the other control replicas that settings name.
+        Peer addresses of the other control replicas in the settings.
     log : ReplicatedLog
-        Where commands are committed.
+        Log in which commands are committed.
     links : PeerLinks
-        To VMs and to other control replicas.
+        Links to VMs and to other control replicas.
     timer : Timer
-        Gives the periods.
+        Schedules periodic work.
     metrics : Metrics
-        Counts heartbeats, news and changes.
+        Counts heartbeats, updates and commands.
     revision_file : RevisionFile or None
-        The newest committed revision on disk; None keeps none.
+        File for the newest committed revision; None to persist none.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
         timer: Timer,
         metrics: Metrics,
     ) -> Self:
-        """Make the service of a control replica."""
+        """Create the service of a control replica from its settings."""
         others = tuple(
             address
             for address in settings.control
@@ -130,12 +130,15 @@
         return cls(record, others, log, links, timer, metrics, revision_file)
 
     def set_control_addresses(self, control: tuple[Address, ...]) -> None:
-        """Know other control replicas from now on, as settings name them."""
+        """Replace the configured addresses of the other control replicas."""
         self.configured_others = control
 
     @property
     def others(self) -> tuple[Address, ...]:
-        """Peer addresses of the other control replicas, named or listed."""
+        """Peer addresses of the other control replicas.
+
+        They come from the settings and from the committed list of VMs.
+        """
         vms = self.state.document.section('vms').values()
         listed = [
             Address.model_validate(vm['peer'])
@@ -149,11 +152,11 @@
 
     @property
     def state(self) -> ControlState:
-        """The control state as this replica has applied it."""
+        """Control state that this replica has applied."""
         return self.machine.state
 
     def start(self) -> None:
-        """Follow the log, take heartbeats, and begin upkeep."""
+        """Restore the revision on disk, and start to follow the log and VMs."""
         self.restore_revision()
         self.machine.subscribe(self.on_state)
         self.machine.start()
@@ -166,7 +169,7 @@
         ]
 
     async def close(self) -> None:
-        """End upkeep; heartbeats are no longer answered."""
+        """Stop the periodic work."""
         for subscription in self.subscriptions:
             subscription.cancel()
         await self.freshness.close()
@@ -176,7 +179,7 @@
         self,
         manifest: Manifest,
     ) -> Result[ManifestOutcome, ProposalFailure]:
-        """Commit a manifest and return what became of it."""
+        """Commit a manifest and return its outcome."""
         answer: Result[Outcome, ProposalFailure] = Ok(BaseChanged())
         for _ in range(MAX_ACCEPT_ATTEMPTS):
             answer = await self.propose(accept_command(self.state, manifest))
@@ -188,7 +191,7 @@
         self,
         command: Command,
     ) -> Result[Outcome, ProposalFailure]:
-        """Commit a command; count what it came to."""
+        """Commit a command and count its outcome."""
         answer = await self.machine.propose(command)
         outcome = answer.err() if isinstance(answer, Err) else answer.ok()
         self.metrics.count(
@@ -199,7 +202,7 @@
         return answer
 
     def route_homes(self, host: str) -> tuple[frozenset[str], ...]:
-        """Return the homes of each route of a host that has any."""
+        """Return the homes of each route of a host that has homes."""
         newest = self.history.newest
         document = self.state.document if newest is None else newest.document
         return tuple(
@@ -209,7 +212,7 @@
         )
 
     def waits_for(self, number: int) -> list[str]:
-        """Return the VMs that a pending number's acceptance waits for."""
+        """Return the names of the VMs that a pending number waits for."""
         now = self.timer.now()
         seen_at = self.pending_seen_at.get(number, now)
         awaited = still_awaited(
@@ -218,11 +221,11 @@
         return [vm.name for vm in awaited]
 
     def on_state(self, state: ControlState) -> None:
-        """Note what a committed entry led to.
+        """Schedule a refresh for the state after a committed entry.
 
-        The document is made ready once for all entries that come together:
-        a replica that restarts replays hundreds, and one revision after the
-        other would keep it from answering for long.
+        One refresh covers all entries that are applied together: a restarting
+        replica replays hundreds, and a refresh for each would block it for
+        long.
         """
         self.record_pending(state)
         if not self.refresh_scheduled:
@@ -230,7 +233,7 @@
             self.timer.after(0, self.refresh)
 
     def refresh(self) -> None:
-        """Keep the newest document and arrange that VMs are told."""
+        """Add the newest document to the history and schedule a push."""
         self.refresh_scheduled = False
         state = self.state
         newest = self.history.newest
@@ -258,10 +261,10 @@
             self.timer.after(PUSH_DELAY_S, self.push)
 
     def restore_revision(self) -> None:
-        """Tell VMs of the revision on disk until the log says more.
+        """Serve the revision on disk until the log has a newer one.
 
-        After a restart of all replicas nothing counts as committed until one
-        of them leads; what was committed before then is known to be.
+        After a restart of all replicas the log counts no entry as committed
+        until one of them leads; the revision on disk was committed before.
         """
         committed = (
             None if self.revision_file is None else self.revision_file.read()
@@ -271,10 +274,10 @@
             log_change('configuration:kept_taken', revision=committed.revision)
 
     async def persist(self) -> None:
-        """Write the newest revision to the disk; a failure is only logged.
+        """Write the newest revision to disk; a failure is only logged.
 
-        It is a copy of what the log holds; without it a restart of all
-        replicas takes an election longer.
+        The log also holds it; without the file a restart of all replicas
+        takes one election longer.
         """
         written = None
         while written is not self.history.newest:
@@ -287,11 +290,11 @@
                 return
 
     def subscribe(self, callback: RevisionCallback) -> None:
-        """Tell of each revision that this replica applies from now on."""
+        """Call back for each revision that this replica applies from now on."""
         self.subscribers.append(callback)
 
     def publish(self, committed: DocumentRevision) -> None:
-        """Tell the parts of this process of a newer revision."""
+        """Pass a newer revision to the subscribers in this process."""
         if not self.subscribers:
             return
         revision = revision_of(committed.revision, committed.document)
@@ -301,7 +304,7 @@
     def newest_revision(self) -> Revision | None:
         """Return the newest committed revision; None before the first.
 
-        After a restart this is the one on disk until the log says more.
+        After a restart it is the one on disk until the log has a newer one.
         """
         committed = self.history.newest
         if committed is None:
@@ -311,7 +314,7 @@
         return self.newest
 
     def record_pending(self, state: ControlState) -> None:
-        """Remember since when each pending number is seen as committed."""
+        """Record when each pending number was first seen as committed."""
         now = self.timer.now()
         self.pending_seen_at = {
             number: self.pending_seen_at.get(number, now)
@@ -320,7 +323,7 @@
         }
 
     def push(self) -> None:
-        """Tell the VMs that speak to this replica of the newest revision."""
+        """Push the newest revision to the VMs that poll this replica."""
         self.push_scheduled = False
         for heartbeat in self.heartbeats.direct(self.timer.now()):
             if heartbeat.vm.name == self.record.name:
@@ -334,7 +337,7 @@
             self.metrics.count('configuration_pushes_total')
 
     async def on_heartbeat(self, sender: str, body: bytes) -> bytes:
-        """Note a VM's heartbeat and tell it what it lacks."""
+        """Record a VM's heartbeat and answer with the update that it needs."""
         heartbeat = decode(ttypes.VmHeartbeat, body)
         vm = self.heartbeat_vm(heartbeat)
         revision = heartbeat.revision or 0
@@ -343,7 +346,7 @@
                 HeartbeatRecord(vm, revision, self.timer.now())
             )
         self.metrics.count('configuration_heartbeats_total')
-        # The proof below covers every entry that is applied; so must the news.
+        # The proof below covers every applied entry, so the update must too.
         self.refresh()
         update = self.history.make_update(
             revision, self.freshness.quorum_age_s()
@@ -352,7 +355,7 @@
         return encode(update)
 
     def heartbeat_vm(self, heartbeat: ttypes.VmHeartbeat) -> VmRecord | None:
-        """Return who sent a heartbeat; None for a stranger without record."""
+        """Return the sender of a heartbeat; None if its record is unknown."""
         if heartbeat.vm is not None:
             return vm_from_wire(heartbeat.vm)
         known = self.heartbeats.by_name.get(heartbeat.name)
@@ -361,7 +364,7 @@
         return known.vm
 
     def begin_maintenance(self) -> None:
-        """Commit what is due, where this replica leads."""
+        """Start the maintenance if this replica is the leader."""
         self.heartbeats.record(
             HeartbeatRecord(self.record, self.state.revision, self.timer.now()),
         )
@@ -373,7 +376,7 @@
         self.background.run('upkeep', self.run_maintenance)
 
     async def run_maintenance(self) -> None:
-        """Commit admissions, claim holders and confirmations."""
+        """Commit due admissions, claim holders and confirmations."""
         commands = due_commands(
             self.state,
             self.heartbeats,
@@ -386,7 +389,7 @@
                 return
 
     def send_reports(self) -> None:
-        """Tell the other control replicas which VMs were heard here."""
+        """Report direct heartbeats to the other control replicas."""
         now = self.timer.now()
         committed = self.state.document.section('vms')
         reports = []
@@ -406,7 +409,7 @@
             self.links.tell(address, MessageKind.configuration_applied, body)
 
     async def on_reports(self, sender: str, body: bytes) -> None:
-        """Note what another control replica heard from VMs."""
+        """Record heartbeats that another control replica received."""
         now = self.timer.now()
         for report in decode(ttypes.VmReports, body).reports or ():
             require_fields(report, 'name', 'revision', 'age_s')
@@ -420,7 +423,7 @@
                 )
 
     def reported_vm(self, report: ttypes.VmReport) -> VmRecord | None:
-        """Return the record that a report is about."""
+        """Return the record of the VM in a report, None if it is unknown."""
         if report.vm is not None:
             return vm_from_wire(report.vm)
         entry = self.state.document.section('vms').get(report.name)
--- a/godwitshunt/configuration/state.py
+++ b/godwitshunt/configuration/state.py
@@ -1,4 +1,4 @@
-"""The control state: what the replicated log adds up to."""
+"""Control state, the result of applying the replicated log."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True)
 class NumberRecord:
-    """The one contents of a manifest number.
+    """Manifest that a number was used for.
 
     Parameters
     ----------
     awaited : tuple of AwaitedVm
-        VMs that its acceptance waits for; empty once accepted.
+        VMs that the acceptance waits for; empty once accepted.
     """
 
     digest: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class ControlState:
-    """Everything that the replicated log has decided.
+    """State after a prefix of the replicated log.
 
     Parameters
     ----------
@@ -41,17 +41,18 @@
     document : Document
         The newest manifest, the admitted VMs and the claim holders.
     highest_number : int
-        The highest manifest number; 0 before the first.
+        The highest committed manifest number; 0 before the first.
     numbers : mapping
-        What each number within the last `NUMBER_WINDOW` stands for.
+        Record of each number within the last `NUMBER_WINDOW`.
     absent : mapping
-        Region of each VM that left the list because it was silent for long.
+        Region of each VM that left the list after a long time without a
+        heartbeat.
     fencing : int
-        The last fencing number that was given out.
+        The last fencing number that was issued.
     orders : mapping
         The last `MAX_ORDERS` orders by name.
     weight_units : int
-        Units ever taken from the weight store's bucket.
+        Total units ever taken from the weight store's token bucket.
     """
 
     revision: int = 0
--- a/godwitshunt/configuration/state_machine.py
+++ b/godwitshunt/configuration/state_machine.py
@@ -1,4 +1,4 @@
-"""Pairs entries of the log with the calls that wait for their outcome."""
+"""State machine that applies the log and returns outcomes to proposers."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 class StateMachine:
-    """The control state of this replica, fed by the log.
+    """Control state of this replica, updated by each committed entry.
 
     Parameters
     ----------
@@ -39,17 +39,17 @@
         self.subscribers: list[StateCallback] = []
 
     def start(self) -> None:
-        """Follow the log."""
+        """Subscribe to the log."""
         self.log.subscribe(
             self.apply, self.take_snapshot, self.install_snapshot
         )
 
     def subscribe(self, callback: StateCallback) -> None:
-        """Tell of each state that a committed entry leads to."""
+        """Call back with the state after each committed entry or snapshot."""
         self.subscribers.append(callback)
 
     def apply(self, index: int, term: int, payload: bytes) -> None:
-        """Apply a committed entry and answer who proposed it."""
+        """Apply a committed entry and resolve the pending proposal, if any."""
         proposal, command = decode_command(payload)
         state, outcome = apply_command(self.state, command)
         self.state = state
@@ -59,16 +59,16 @@
         self.notify_subscribers()
 
     def take_snapshot(self) -> bytes:
-        """Return the state for a snapshot."""
+        """Return the encoded state for a snapshot."""
         return pack_state(self.state)
 
     def install_snapshot(self, snapshot: bytes) -> None:
-        """Take over the state of a snapshot.
+        """Replace the state by that of a snapshot.
 
         Raises
         ------
         StorageError
-            Where the snapshot cannot be read: going on without it would give
+            If the snapshot cannot be read; continuing without it would give
             wrong answers.
         """
         match unpack_state(snapshot):
@@ -79,7 +79,7 @@
         self.notify_subscribers()
 
     def notify_subscribers(self) -> None:
-        """Tell every part of the state; one that fails ends no other."""
+        """Pass the state to all subscribers, even if one of them fails."""
         for callback in self.subscribers:
             try:
                 callback(self.state)
@@ -90,11 +90,11 @@
         self,
         command: Command,
     ) -> Result[Outcome, ProposalFailure]:
-        """Commit a command and return what it came to.
+        """Commit a command and return its outcome.
 
-        The outcome is the one of this very entry, also where entries of
-        others were committed before it. A command that cannot be applied
-        raises here: in the log, it would end every replica.
+        The outcome is that of this entry, even if other entries were
+        committed before it. A command that cannot be applied raises here,
+        before it is proposed; as a log entry it would crash every replica.
         """
         proposal, payload = encode_command(command)
         apply_command(self.state, decode_command(payload)[1])
--- a/godwitshunt/configuration/status.py
+++ b/godwitshunt/configuration/status.py
@@ -1,4 +1,4 @@
-"""What operators are told of the state of a deployment."""
+"""Status of a deployment for operators."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
     leadership: Leadership,
     now: float,
 ) -> dict[str, Any]:
-    """Return the status as JSON fields; durations are in seconds."""
+    """Return the JSON fields of the status; durations are in seconds."""
     vms = {
         name: vm_status(state, heartbeats, name, now)
         for name in state.document.section('vms')
@@ -42,7 +42,7 @@
     name: str,
     now: float,
 ) -> dict[str, Any]:
-    """Return what is known of one VM."""
+    """Return the JSON fields of one VM."""
     entry = state.document.section('vms')[name]
     heartbeat = heartbeats.by_name.get(name)
     if heartbeat is None or not heartbeats.is_live(name, now):
@@ -63,10 +63,10 @@
 
 
 def names_in(vms: dict[str, Any], condition: str) -> list[str]:
-    """Return the names of VMs in a condition."""
+    """Return the names of the VMs in a condition."""
     return [name for name, vm in vms.items() if vm['condition'] == condition]
 
 
 def finite(seconds: float) -> float | None:
-    """Return a duration, or None for one that JSON cannot hold."""
+    """Return a duration, or None if it is infinite."""
     return seconds if seconds < float('inf') else None
--- a/godwitshunt/configuration/sync_state.py
+++ b/godwitshunt/configuration/sync_state.py
@@ -1,7 +1,7 @@
-"""How a VM takes over newer revisions; pure.
+"""Rules by which a VM applies newer revisions; no I/O.
 
-A revision that was once in force never gives way to an older one, whatever
-order messages arrive in, so that nothing an operator changed reverts.
+A revision is never replaced by an older one, in whatever order messages
+arrive, so that no operator's change is reverted.
 """
 
 from dataclasses import dataclass, replace
@@ -25,21 +25,22 @@
 
 @dataclass(frozen=True)
 class SyncState:
-    """What a VM holds.
+    """Latest revision of a VM and its last proof of a quorum.
 
     Parameters
     ----------
     latest : DocumentRevision or None
-        The revision in force; None before the first.
+        The latest revision; None before the first.
     proof_at : float
         Monotonic time of the last proof of a live quorum, in seconds.
     needs_full_document : bool
-        True where a delta did not fit and the whole document is wanted.
+        True if a delta could not be applied and the next request asks for the
+        full document.
     started_at : float
         Monotonic time when the process started, in seconds.
     unproven_after_s : float
-        Seconds after its start from which a VM without a revision begins
-        with one that no quorum vouches for; infinite for never.
+        Seconds after its start from which a VM without a revision applies one
+        without a proof of a quorum; infinite for never.
     """
 
     latest: DocumentRevision | None = None
@@ -50,7 +51,7 @@
 
     @property
     def base_revision(self) -> int:
-        """The revision to ask a delta over; 0 asks for the whole."""
+        """Revision to request a delta from; 0 requests the full document."""
         if self.latest is None or self.needs_full_document:
             return 0
         return self.latest.revision
@@ -58,19 +59,19 @@
 
 @dataclass(frozen=True)
 class RevisionApplied:
-    """A higher revision came into force."""
+    """The update held a newer revision."""
 
     latest: DocumentRevision
 
 
 @dataclass(frozen=True)
 class NoNewerRevision:
-    """The news held nothing that is higher than what is in force."""
+    """The update held no newer revision that may be applied."""
 
 
 @dataclass(frozen=True)
 class UpdateRejected:
-    """The news could not be applied; the whole document is asked for."""
+    """The update could not be applied; the full document is needed."""
 
     fault: DocumentFault
 
@@ -85,26 +86,26 @@
     *,
     from_peer: bool = False,
 ) -> tuple[SyncState, UpdateOutcome]:
-    """Apply a reply or a push.
+    """Apply an update from a reply or a push.
 
     Parameters
     ----------
     sync_state : SyncState
-        What the VM holds.
+        State of the VM before the update.
     update : ConfigurationNews
         From a control replica or a peer.
     requested_at : float or None
         When the call that this answers was sent, in monotonic seconds. None
-        for a push: its delay on the way is unknown, so it proves no quorum.
+        for a push: its network delay is unknown, so it proves no quorum.
     from_peer : bool
-        True where a VM of the same region, which has the revision in force,
-        sent the news.
+        True if a VM of the same region sent the update from its active
+        revision.
 
     Notes
     -----
-    A proof of a quorum counts only once the revision that came with it is in
-    force. So a VM with a fresh proof holds every change that was committed
-    before that proof, also where the proof came through a peer.
+    A proof of a quorum counts only once the revision that came with it is
+    applied. So a VM with a fresh proof has every change that was committed
+    before that proof, even if the proof came from a peer.
     """
     latest = sync_state.latest
     if latest is not None and update.revision <= latest.revision:
@@ -134,13 +135,13 @@
     requested_at: float | None,
     from_peer: bool,
 ) -> bool:
-    """Tell whether a VM without a revision may begin with this one.
+    """Return whether a VM without a revision may start with this one.
 
-    Before a restart without a disk the VM may have said that a newer one is
-    in force. A control replica that lags would take it back to an older one,
+    Before a restart without a disk the VM may have reported a newer revision
+    as applied. A lagging control replica would bring it back to an older one,
     and it would serve by rules that an accepted manifest has replaced. So the
-    revision must include every commit before the restart; or it must be in
-    force on a VM of the region, which was waited for as much as this one.
+    revision must include every commit before the restart, or be active on a
+    VM of the region, for which acceptances wait in the same way.
     """
     if sync_state.latest is not None or from_peer:
         return True
@@ -158,7 +159,7 @@
     update: ConfigurationNews,
     requested_at: float | None,
 ) -> SyncState:
-    """Note the proof of a quorum that came with the news."""
+    """Return the state with the proof of a quorum of an update."""
     if requested_at is None or update.quorum_age_s < 0:
         return sync_state
     proof_at = max(sync_state.proof_at, requested_at - update.quorum_age_s)
@@ -169,7 +170,7 @@
     latest: DocumentRevision | None,
     update: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
-    """Return the document that the news leads to, its digest checked."""
+    """Return the document that an update yields, and check its digest."""
     decoded = decode_body(latest, update)
     if isinstance(decoded, Ok):
         found = digest_of(decoded.ok_value)
@@ -182,7 +183,7 @@
     latest: DocumentRevision | None,
     update: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
-    """Read the whole document, or the delta over the held one."""
+    """Read the full document, or apply the delta to the latest one."""
     if not update.base_digest:
         return unpack_document(update.body)
     found = '' if latest is None else latest.digest
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -1,4 +1,4 @@
-"""The VM side: keeps the newest revision and the proof of a quorum."""
+"""VM side: the active revision and the last proof of a quorum."""
 
 import asyncio
 import random
@@ -47,63 +47,63 @@
 from godwitshunt.timer import Timer
 
 HEARTBEAT_PERIOD_S = 1.0
-# Without jitter the heartbeats of VMs that started together would stay
-# together and reach a control replica as one burst each second.
+# Without jitter VMs that started together would reach a control replica with
+# one burst of heartbeats each second.
 HEARTBEAT_JITTER_S = 0.2
 CALL_TIMEOUT_S = 0.5
-# Newer news is asked for out of turn so often at most.
+# Shortest interval between polls on demand.
 MIN_POLL_INTERVAL_S = 0.05
-# Until it has a revision a VM serves nobody, so it asks more often.
+# A VM without a revision serves no requests, so it polls more often.
 STARTUP_POLL_PERIOD_S = 0.1
-# A replica whose own proof is older than this is asked no further: another
-# one may be in touch with the quorum.
+# If a replica's own proof is older than this, the next replica is polled, since
+# it may have contact with the quorum.
 MAX_PROOF_AGE_S = 1.5
 
 
 @dataclass(frozen=True)
 class UnlistedStart:
-    """How a VM starts whose deployment has no callers that a region may lose.
+    """Start without being listed, where callers never lose a region.
 
     Parameters
     ----------
     unproven_after_s : float
-        Seconds after its start from which it takes a revision that no quorum
-        vouches for and no majority of control replicas has told. While these
-        are away, callers are better served by the newest revision that can be
-        had than refused.
+        Seconds after its start from which the VM applies a revision without a
+        proof of a quorum and without replies from a majority of the control
+        replicas. While these are unreachable, serving callers by the newest
+        available revision is better than refusing them.
     """
 
     unproven_after_s: float = 0.5
 
 
 class ConfigurationTask:
-    """What is in force on a VM.
+    """Keeps the active revision of a VM up to date.
 
     Parameters
     ----------
     record : VmRecord
-        This VM.
+        Record of this VM.
     control : tuple of Address
         Peer addresses of the control replicas.
     peers : tuple of Address
-        Peer addresses of VMs of the region that settings name.
+        Peer addresses of VMs of the region in the settings.
     links : PeerLinks
-        To control replicas and peers.
+        Links to control replicas and peers.
     timer : Timer
-        Gives the periods.
+        Schedules heartbeats.
     metrics : Metrics
         Counts heartbeats and applied revisions.
     revision_file : RevisionFile or None
-        The newest revision on disk; None where the VM has no disk.
+        File for the newest revision; None if the VM has no disk.
     unlisted : UnlistedStart or None
-        How a VM starts that no acceptance ever waits for; None for one that
-        serves only once it is listed.
+        How to start a VM that no acceptance ever waits for; None for a VM
+        that serves only once a revision lists it.
 
     Attributes
     ----------
     current : Revision or None
-        In force on this VM; None before the first that lists the VM. Its
-        revision only rises.
+        The active revision; None before the first that lists the VM. Its
+        number only rises.
     """
 
     def __init__(
@@ -137,7 +137,7 @@
         self.peer_round = 0
         self.sends_record = True
         self.polled_at_s = float('-inf')
-        # Spreads heartbeats over time; nothing is decided by it.
+        # Only spreads heartbeats over time.
         self.jitter = random.Random(record.name)
 
     @classmethod
@@ -150,7 +150,7 @@
         metrics: Metrics,
         unlisted: UnlistedStart | None = None,
     ) -> Self:
-        """Make the task of a VM."""
+        """Create the task of a VM from its settings."""
         revision_file = None
         if settings.data_folder is not None:
             revision_file = RevisionFile(Path(settings.data_folder))
@@ -166,12 +166,12 @@
         )
 
     def start(self) -> None:
-        """Take up the kept revision and begin to ask for newer ones.
+        """Restore the persisted revision and start to poll for newer ones.
 
         Raises
         ------
         StorageError
-            Where the data folder cannot be read.
+            If the data folder cannot be read.
         """
         self.sync_state = replace(self.sync_state, started_at=self.timer.now())
         if self.unlisted is not None:
@@ -186,32 +186,32 @@
         self.begin_heartbeat()
 
     async def close(self) -> None:
-        """Ask no more; the revision stays in force."""
+        """Stop polling; the revision stays active."""
         self.closed = True
         await self.background.close()
 
     def subscribe(self, callback: RevisionCallback) -> None:
-        """Tell of each revision that comes into force from now on."""
+        """Call back for each revision that becomes active from now on."""
         self.subscribers.append(callback)
 
     def set_control_addresses(self, control: tuple[Address, ...]) -> None:
-        """Ask other control replicas from now on, as settings name them."""
+        """Replace the configured addresses of the control replicas."""
         self.control = control
 
     def quorum_age_s(self) -> float:
         """Return the seconds since the last proof of a live quorum.
 
-        Infinite where there was none since the process started.
+        Infinite if there was none since the process started.
         """
         return self.timer.now() - self.sync_state.proof_at
 
     @property
     def is_admitted(self) -> bool:
-        """True where the revision in force lists this VM."""
+        """Whether the active revision lists this VM."""
         return self.current is not None and self.record in self.current.vms
 
     def restore_revision(self, revision_file: RevisionFile) -> None:
-        """Put the revision on disk in force, without proof of a quorum."""
+        """Activate the revision on disk, without a proof of a quorum."""
         latest = revision_file.read()
         if latest is None:
             return
@@ -221,7 +221,7 @@
             self.publish(revision)
 
     def begin_heartbeat(self) -> None:
-        """Ask once and arrange for the next time."""
+        """Start one poll and schedule the next."""
         if self.closed:
             return
         if self.current is None and self.unlisted is not None:
@@ -235,17 +235,17 @@
         self.timer.after(period_s, self.begin_heartbeat)
 
     async def poll_now(self) -> None:
-        """Ask for newer news, and wait for it.
+        """Poll for a newer revision and wait for the answer.
 
-        Where that is under way already, that answer is waited for. Callers
-        with wrong keys must not make this VM ask without end.
+        A poll that is already running is awaited instead. Callers with wrong
+        keys must not be able to make this VM poll without limit.
         """
         if self.timer.now() - self.polled_at_s > MIN_POLL_INTERVAL_S:
             self.background.run('heartbeat', self.poll)
         await self.background.wait('heartbeat')
 
     async def poll(self) -> None:
-        """Ask control replicas until one proves a quorum, else a peer."""
+        """Poll control replicas until one proves a quorum, else peers."""
         self.polled_at_s = self.timer.now()
         for address in control_poll_order(
             self.current,
@@ -268,11 +268,11 @@
                 return
 
     def poll_all_control(self) -> None:
-        """Ask every control replica at once, for the first revision.
+        """Poll all control replicas at once for the first revision.
 
-        After all machines were dark, replicas start with the VMs and are
-        silent at first: asked in turn, each of them costs its callers half a
-        second in which nobody is served.
+        After an outage of all machines the replicas start together with the
+        VMs and do not answer at first. Polled in turn, each would cost a
+        timeout of half a second during which no caller is served.
         """
         for address in all_control_addresses(None, self.control):
             self.background.run(
@@ -281,7 +281,7 @@
             )
 
     async def poll_first_revision(self, address: Address) -> None:
-        """Ask one control replica for the first revision."""
+        """Poll one control replica for the first revision."""
         reply = await self.request_update(address, MessageKind.vm_heartbeat)
         if reply is None or self.current is not None:
             return
@@ -294,7 +294,7 @@
         await self.receive_update(newest.update, newest.requested_at)
 
     async def poll_one(self, address: Address, kind: MessageKind) -> bool:
-        """Send one heartbeat; True where the reply proved a live quorum."""
+        """Send a heartbeat; return whether the reply proved a live quorum."""
         reply = await self.request_update(address, kind)
         if reply is None:
             return False
@@ -311,7 +311,7 @@
     async def request_update(
         self, address: Address, kind: MessageKind
     ) -> UpdateReply | None:
-        """Send one heartbeat; return the news, None where none came."""
+        """Send a heartbeat; return the update, None if none arrived."""
         requested_at = self.timer.now()
         reply = await self.links.call(
             address,
@@ -331,7 +331,7 @@
         return UpdateReply(update, requested_at)
 
     def heartbeat(self) -> ttypes.VmHeartbeat:
-        """Return what this VM tells of itself."""
+        """Return the heartbeat of this VM."""
         return ttypes.VmHeartbeat(
             name=self.record.name,
             session=self.record.session,
@@ -340,14 +340,14 @@
         )
 
     async def on_update(self, sender: str, body: bytes) -> None:
-        """Take a push; ask at once where its delta does not fit."""
+        """Apply a push; poll at once if its delta cannot be applied."""
         update = decode_update(body)
         outcome = await self.receive_update(update, None)
         if isinstance(outcome, UpdateRejected):
             self.background.run('heartbeat', self.poll)
 
     async def on_fetch(self, sender: str, body: bytes) -> bytes:
-        """Tell a peer what this VM holds, with the age of its proof."""
+        """Answer a peer with an update and the age of the last proof."""
         heartbeat = decode(ttypes.VmHeartbeat, body)
         update = self.history.make_update(
             heartbeat.revision or 0,
@@ -362,11 +362,11 @@
         *,
         from_peer: bool = False,
     ) -> UpdateOutcome:
-        """Apply news and tell the subscribers of a newer revision.
+        """Apply an update and activate a newer revision.
 
-        A newer revision is on the disk before it is in force: a VM that
-        crashed in between and restarted while isolated would else serve by
-        the older one after it had said that the newer one is in force.
+        A newer revision is persisted before it becomes active. Otherwise a VM
+        that crashed in between and restarted while isolated would serve by
+        the older revision after it had reported the newer one as applied.
         """
         async with self.lock:
             sync_state, outcome = apply_update(
@@ -387,7 +387,7 @@
         sync_state: SyncState,
         outcome: RevisionApplied,
     ) -> UpdateOutcome:
-        """Check, keep and publish a newer revision."""
+        """Validate, persist and publish a newer revision."""
         latest = outcome.latest
         try:
             revision = revision_of(latest.revision, latest.document)
@@ -404,10 +404,10 @@
         return outcome
 
     def is_listed(self, revision: Revision) -> bool:
-        """Tell whether a revision lists this VM, perhaps before a restart.
+        """Return whether a revision lists this VM, in any session.
 
-        A VM that is not listed is not waited for where its region loses a
-        caller; so it does not begin to serve.
+        No acceptance waits for an unlisted VM when its region is removed from
+        a caller, so such a VM does not start to serve.
         """
         if self.unlisted is not None:
             return True
@@ -416,7 +416,7 @@
     async def persist(
         self, revision_file: RevisionFile, latest: DocumentRevision
     ) -> None:
-        """Write a revision to the disk; a failure is counted and logged.
+        """Write a revision to disk; a failure is counted and logged.
 
         Serving by an older revision until the disk is repaired would be
         worse than losing the newer one at the next restart.
@@ -428,7 +428,7 @@
             log_change('configuration:keep_failed', reason=error.reason)
 
     def publish(self, revision: Revision) -> None:
-        """Put a revision in force at once and tell the subscribers."""
+        """Make a revision active and pass it to the subscribers."""
         self.current = revision
         if self.sync_state.latest is not None:
             self.history.add(self.sync_state.latest)
@@ -442,6 +442,6 @@
             callback(revision)
 
     def record_rejected(self, rejected: UpdateRejected) -> None:
-        """Count and log news that could not be applied."""
+        """Count and log an update that could not be applied."""
         self.metrics.count('configuration_news_refused_total')
         log_change('configuration:news_refused', fault=repr(rejected.fault))
--- a/godwitshunt/configuration/transitions.py
+++ b/godwitshunt/configuration/transitions.py
@@ -1,7 +1,7 @@
-"""How each command of the log changes the control state.
+"""Dispatch of the commands of the log to their state transitions.
 
-`apply_command` is a pure function, so that every replica that has applied the
-same entries holds the same state and gives the same answers.
+`apply_command` is a pure function, so that all replicas that have applied the
+same entries have the same state and give the same answers.
 """
 
 from godwitshunt.configuration.commands import (
@@ -31,14 +31,14 @@
     Parameters
     ----------
     state : ControlState
-        The state after every earlier entry.
+        State after all earlier entries.
     command : Command or None
-        None for an entry of a kind that this version does not know.
+        Decoded command; None for an entry of an unknown kind.
 
     Returns
     -------
     tuple
-        The state after the entry, and the outcome for who proposed it.
+        State after the entry, and the outcome for its proposer.
     """
     match command:
         case AcceptManifest():
--- a/godwitshunt/configuration/update_wire.py
+++ b/godwitshunt/configuration/update_wire.py
@@ -1,4 +1,4 @@
-"""Between news of revisions, VMs' records, and their thrift structs."""
+"""Conversion of configuration updates and VM records from and to thrift."""
 
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.revision import VmRecord, VmRole
@@ -10,13 +10,13 @@
 
 
 def require_fields(message: object, *fields: str) -> None:
-    """Check that fields of a message are set.
+    """Check that the given fields of a message are set.
 
     Raises
     ------
     FrameError
-        Where one is missing. A peer of another version may send such a
-        message; it must cost its own call and no other.
+        If a field is missing. A peer of another version may send such a
+        message; only the call that it belongs to may fail.
     """
     for field in fields:
         if getattr(message, field) is None:
@@ -24,14 +24,14 @@
 
 
 def decode_update(body: bytes) -> ttypes.ConfigurationNews:
-    """Read news; raise FrameError where it is not whole."""
+    """Decode an update; raise FrameError if a field is missing."""
     update = decode(ttypes.ConfigurationNews, body)
     require_fields(update, *UPDATE_FIELDS)
     return update
 
 
 def vm_to_wire(vm: VmRecord) -> ttypes.VmInfo:
-    """Return a VM's record as a struct."""
+    """Return the thrift struct of a VM record."""
     return ttypes.VmInfo(
         name=vm.name,
         region=vm.region,
@@ -44,12 +44,12 @@
 
 
 def vm_from_wire(info: ttypes.VmInfo) -> VmRecord:
-    """Read a VM's record.
+    """Return the VM record of a thrift struct.
 
     Raises
     ------
     FrameError
-        Where a field is missing or out of its range.
+        If a field is missing or out of range.
     """
     try:
         return VmRecord(
--- a/godwitshunt/configuration/wire.py
+++ b/godwitshunt/configuration/wire.py
@@ -1,4 +1,4 @@
-"""Between commands, the control state, and their thrift structs."""
+"""Serialisation of commands and of the control state."""
 
 import secrets
 from dataclasses import asdict
@@ -23,7 +23,7 @@
 
 
 def encode_command(command: commands.Command) -> tuple[str, bytes]:
-    """Return a new proposal's name and its log entry."""
+    """Return a new proposal's identifier and its encoded log entry."""
     proposal = secrets.token_hex(PROPOSAL_BYTES)
     entry = ttypes.Command(proposal=proposal)
     match command:
@@ -52,7 +52,7 @@
 
 
 def accept_to_wire(command: commands.AcceptManifest) -> ttypes.AcceptManifest:
-    """Return the struct of an accept command."""
+    """Return the thrift struct of an accept command."""
     return ttypes.AcceptManifest(
         number=command.number,
         digest=command.digest,
@@ -62,13 +62,13 @@
 
 
 def decode_command(payload: bytes) -> tuple[str, commands.Command | None]:
-    """Read a log entry; the command is None where its kind is unknown."""
+    """Decode a log entry; the command is None if its kind is unknown."""
     entry = decode(ttypes.Command, payload)
     return entry.proposal or '', command_of(entry)
 
 
 def command_of(entry: ttypes.Command) -> commands.Command | None:
-    """Return the command that is set in an entry."""
+    """Return the command that is set in a log entry."""
     for body in (
         entry.accept_manifest,
         entry.confirm_manifest,
@@ -84,7 +84,7 @@
 
 
 def read_body(body: object) -> commands.Command | None:
-    """Return the command of an entry's body."""
+    """Return the command of a thrift struct."""
     match body:
         case ttypes.AcceptManifest():
             return commands.AcceptManifest(
@@ -122,7 +122,7 @@
 
 
 def pack_state(state: ControlState) -> bytes:
-    """Return the control state for a snapshot."""
+    """Return the encoded control state for a snapshot."""
     fields: dict[str, Any] = {
         'revision': state.revision,
         'document': document_to_plain(state.document),
@@ -140,12 +140,12 @@
 
 
 def awaited_fields(known: NumberRecord) -> list:
-    """Return the awaited VMs of a number as plain JSON."""
+    """Return the JSON fields of the awaited VMs of a number."""
     return [[vm.name, vm.lease_suffices] for vm in known.awaited]
 
 
 def unpack_state(body: bytes) -> Result[ControlState, DocumentMalformed]:
-    """Read the control state of a snapshot."""
+    """Decode the control state of a snapshot."""
     match unpack(body):
         case Err(fault):
             return Err(fault)
@@ -156,7 +156,7 @@
 def read_state(
     fields: dict[str, Any],
 ) -> Result[ControlState, DocumentMalformed]:
-    """Read the control state from plain JSON fields."""
+    """Return the control state of JSON fields."""
     document = document_from_plain(fields['document'])
     if isinstance(document, Err):
         return document
