--- a/godwitshunt/configuration/cluster.py
+++ b/godwitshunt/configuration/cluster.py
@@ -55,7 +55,7 @@
     ) -> None:
         self.consensus = consensus
         self.other_replicas = tuple(
-            member for member in control if member != own
+            address for address in control if address != own
         )
         # Two operators who initialise at two replicas at once would create two
         # clusters; so only the replica named first accepts the command.
@@ -80,7 +80,7 @@
             return await self.join_missing()
 
     async def join_missing(self) -> Result[object, BootstrapFailure]:
-        """Make the named replicas that are not members yet voters."""
+        """Make voters of the named replicas that are not members yet."""
         own = self.consensus.identity().replica
         outcome: Result[object, BootstrapFailure] = Err(AlreadyInitialised(own))
         for address in self.other_replicas:
@@ -102,10 +102,10 @@
 
         That is an unused replica whose name is not a member, or a learner.
         """
-        named = self.members_on_vm(identity.replica.name)
-        if not named:
+        members = self.members_on_vm(identity.replica.name)
+        if not members:
             return identity.unused
-        return named[0].replica == identity.replica and not named[0].voter
+        return members[0].replica == identity.replica and not members[0].voter
 
     async def replace(
         self,
@@ -182,7 +182,7 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """Return the voters, the learners and the fault tolerance left."""
+        """Return the JSON fields of the voters and learners."""
         members = self.consensus.members()
         return {
             'voters': [describe(member) for member in members if member.voter],
--- a/godwitshunt/configuration/explanation.py
+++ b/godwitshunt/configuration/explanation.py
@@ -90,7 +90,9 @@
         for route in manifest.routes
         if route.host == host.lower() and path.startswith(route.path_prefix)
     ]
-    return max(matching, key=lambda route: len(route.path_prefix), default=None)
+    return max(
+        matching, key=lambda candidate: len(candidate.path_prefix), default=None
+    )
 
 
 def describe_route(route: Route, owner: Organisation | None) -> dict[str, Any]:
--- a/godwitshunt/configuration/http_calls.py
+++ b/godwitshunt/configuration/http_calls.py
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class NotPermitted:
-    """The permit was withdrawn before the first byte; nothing was sent."""
+    """The permit callable returned False; nothing was sent."""
 
     address: str
 
@@ -92,7 +92,7 @@
     Parameters
     ----------
     address : Address
-        Where to send it.
+        Address of the server.
     call : HttpCall
         The request.
     permit : callable
--- a/godwitshunt/configuration/manifest_numbers.py
+++ b/godwitshunt/configuration/manifest_numbers.py
@@ -85,7 +85,7 @@
 
     An operator who did not receive the answer sends the same manifest again,
     perhaps much later, and must get the first answer without any change. Of
-    two operators who race for one number, only one may be told that the
+    two operators who race for one number, only one may be told that its
     manifest is accepted.
     """
     known = state.numbers.get(number)
--- a/godwitshunt/configuration/operator_api.py
+++ b/godwitshunt/configuration/operator_api.py
@@ -116,14 +116,14 @@
 
     async def serve(self, request: HttpRequest, writer: AnswerWriter) -> None:
         """Answer a request of the HTTP listener."""
-        outcome = await self.handle(read_request(request))
-        await writer.whole(whole_answer(outcome))
+        reply = await self.handle(read_request(request))
+        await writer.whole(whole_answer(reply))
 
     async def handle(self, request: OperatorRequest) -> OperatorAnswer:
         """Answer an operator's request, after checking the token."""
-        plain = self.answer_without_token(request)
-        if plain is not None:
-            return plain
+        public = self.answer_without_token(request)
+        if public is not None:
+            return public
         digest = hashlib.sha256(request.token.encode()).hexdigest()
         if not hmac.compare_digest(digest, self.token_sha256):
             self.service.metrics.count('operator_refused_total')
@@ -343,7 +343,7 @@
         if self.cluster is None:
             return refusal(problem_of(NotLeader(None)))
         try:
-            query = parse_document(
+            replacement = parse_document(
                 BODY,
                 request.body or b'{}',
                 ReplaceRequest,
@@ -353,7 +353,7 @@
             return refusal(invalid_document(invalid))
         outcome = await self.cluster.replace(
             path.removesuffix('/replace'),
-            query.address,
+            replacement.address,
         )
         if isinstance(outcome, Err):
             return refusal(problem_of(outcome.err_value))
--- a/godwitshunt/configuration/poll_order.py
+++ b/godwitshunt/configuration/poll_order.py
@@ -37,8 +37,8 @@
     preferred = [] if last_good is None else [last_good]
     # Without the rotation all VMs of a region without a control replica would
     # poll the replica that the settings name first.
-    round_index = crc32(record.name.encode()) % max(1, len(control))
-    rotated = (*control[round_index:], *control[:round_index])
+    offset = crc32(record.name.encode()) % max(1, len(control))
+    rotated = (*control[offset:], *control[:offset])
     return tuple(dict.fromkeys([*local, *preferred, *rotated]))
 
 
