--- a/godwitshunt/configuration/revision_file.py
+++ b/godwitshunt/configuration/revision_file.py
@@ -11,7 +11,7 @@
     unpack_document,
 )
 from godwitshunt.configuration.history import DocumentRevision
-from godwitshunt.storage import KeptFile, KeptRecord
+from godwitshunt.storage import AtomicFile, StoredRecord
 
 FILE_NAME = 'configuration.bin'
 MAGIC = b'GWC1'
@@ -30,9 +30,9 @@
     folder: Path
 
     @property
-    def file(self) -> KeptFile:
+    def file(self) -> AtomicFile:
         """File that is replaced atomically at each write."""
-        return KeptFile(self.folder / FILE_NAME, MAGIC)
+        return AtomicFile(self.folder / FILE_NAME, MAGIC)
 
     def read(self) -> DocumentRevision | None:
         """Return the persisted revision; None if it is missing or corrupt.
@@ -60,4 +60,4 @@
             If the disk is full or cannot be written.
         """
         body = pack_document(revision.document)
-        self.file.write(KeptRecord(revision.revision, body))
+        self.file.write(StoredRecord(revision.revision, body))
--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -122,7 +122,7 @@
         others = tuple(
             address
             for address in settings.control
-            if address != settings.peer_reached
+            if address != settings.peer_endpoint
         )
         revision_file = None
         if settings.keeps_revision:
@@ -329,7 +329,7 @@
             if heartbeat.vm.name == self.record.name:
                 continue
             update = self.history.make_update(heartbeat.revision, float('inf'))
-            self.links.tell(
+            self.links.notify(
                 heartbeat.vm.peer,
                 MessageKind.configuration_news,
                 encode(update),
@@ -406,7 +406,7 @@
             reports.append(report)
         body = encode(ttypes.VmReports(reports=reports))
         for address in self.others:
-            self.links.tell(address, MessageKind.configuration_applied, body)
+            self.links.notify(address, MessageKind.configuration_applied, body)
 
     async def on_reports(self, sender: str, body: bytes) -> None:
         """Record heartbeats that another control replica received."""
--- a/godwitshunt/membership/region_gossip.py
+++ b/godwitshunt/membership/region_gossip.py
@@ -185,7 +185,7 @@
             draining=True if self.leaving else None,
             batch=batch,
         )
-        self.links.tell(
+        self.links.notify(
             self.peers.own[peer],
             MessageKind.upstream_gossip,
             encode(message),
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -130,4 +130,4 @@
         made = self.reports.make(
             self.watch.contacts.for_control(str(picker)).source
         )
-        self.links.tell(picker, MessageKind.load_report, encode(made))
+        self.links.notify(picker, MessageKind.load_report, encode(made))
