--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -5,8 +5,8 @@
 from godwitshunt.exchange.upstream_pool import UpstreamPool
 from godwitshunt.ingress.authorization import Authorizer
 from godwitshunt.ingress.context import Budgets, IngressContext
+from godwitshunt.ingress.crash_detector import CrashWitness
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.picking.attempt_recorder import Learner
 from godwitshunt.picking.chooser import Chooser
 from godwitshunt.picking.client import PickerClient
--- a/godwitshunt/ingress/attempt.py
+++ b/godwitshunt/ingress/attempt.py
@@ -25,7 +25,6 @@
     UpstreamCall,
     UpstreamPool,
 )
-from godwitshunt.ingress.account import Stage
 from godwitshunt.ingress.events import NumberedEvents
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.headers import CONNECTION_ONLY
@@ -37,6 +36,7 @@
     NotRun,
     Streamed,
 )
+from godwitshunt.ingress.request_trace import Stage
 from godwitshunt.settings import Address
 
 SUCCESS = range(200, 300)
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -8,8 +8,8 @@
 )
 from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.authorization import Authorizer
+from godwitshunt.ingress.crash_detector import CrashWitness
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.organisations import Standing
 from godwitshunt.picking.attempt_recorder import Learner
 from godwitshunt.picking.choices import ChoiceRequest
--- a/godwitshunt/ingress/life.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -11,10 +11,9 @@
     render_problem,
 )
 from godwitshunt.exchange.requests import AnswerWriter
-from godwitshunt.ingress.account import RequestAccount, Stage
 from godwitshunt.ingress.attempt import ARRIVED_HEADER, QUARANTINED_HEADER
 from godwitshunt.ingress.context import IngressContext
-from godwitshunt.ingress.learning import place_of
+from godwitshunt.ingress.feedback import place_of
 from godwitshunt.ingress.outcomes import (
     Again,
     AttemptOutcome,
@@ -27,6 +26,7 @@
     RefuseWith,
     Step,
 )
+from godwitshunt.ingress.request_trace import RequestAccount, Stage
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.ingress.sending import MARGIN_S, Sender
 from godwitshunt.picking.choices import (
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -9,13 +9,12 @@
 from godwitshunt.exchange.upstream_messages import (
     OutgoingRequest,
 )
-from godwitshunt.ingress.account import RequestAccount, Stage
 from godwitshunt.ingress.attempt import Attempt, Patience
 from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.events import NumberedEvents
+from godwitshunt.ingress.feedback import Lessons, UpstreamAttempt
 from godwitshunt.ingress.headers import for_upstream
 from godwitshunt.ingress.hops import hop_request, host_of
-from godwitshunt.ingress.learning import Lessons, UpstreamAttempt
 from godwitshunt.ingress.outcomes import (
     AttemptOutcome,
     Failed,
@@ -23,6 +22,7 @@
     NotRun,
     Progress,
 )
+from godwitshunt.ingress.request_trace import RequestAccount, Stage
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.picking.choices import (
     HandOver,
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -25,7 +25,7 @@
 from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.hops import read_hop
-from godwitshunt.ingress.life import RequestLife
+from godwitshunt.ingress.lifecycle import RequestLife
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.ingress.sending import SIGN_OF_LIFE_S
 from godwitshunt.picking.client import PickerClient
--- a/godwitshunt/ingress/tests/test_witness.py
+++ b/godwitshunt/ingress/tests/test_crash_detector.py
@@ -6,7 +6,7 @@
 import pytest
 
 from godwitshunt.exchange.channel import Channel
-from godwitshunt.ingress.witness import CrashWitness
+from godwitshunt.ingress.crash_detector import CrashWitness
 from godwitshunt.quarantine import Fingerprint, Quarantine
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_feedback.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitshunt.ingress.learning import Lessons, UpstreamAttempt
+from godwitshunt.ingress.feedback import Lessons, UpstreamAttempt
 from godwitshunt.ingress.outcomes import Lost, NotRun, Streamed
 from godwitshunt.picking.attempt_recorder import Learner
 from godwitshunt.picking.attempt_reports import AttemptShown, Shown
--- a/godwitshunt/ingress/tests/test_hops.py
+++ b/godwitshunt/ingress/tests/test_hops.py
@@ -14,7 +14,7 @@
 from godwitshunt.exchange.requests import HttpRequest
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.hops import read_hop
-from godwitshunt.ingress.tests.test_authority import (
+from godwitshunt.ingress.tests.test_authorization import (
     OTHERS,
     WARDS,
     active_revision,
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -5,8 +5,8 @@
 import pytest
 
 from godwitshunt.exchange.requests import HttpRequest
+from godwitshunt.ingress.feedback import UpstreamAttempt
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.learning import UpstreamAttempt
 from godwitshunt.ingress.outcomes import NotRun
 from godwitshunt.ingress.sending import Sender
 from godwitshunt.ingress.task import IngressTask
--- a/godwitshunt/ingress/tests/test_quarantined_life.py
+++ b/godwitshunt/ingress/tests/test_quarantined_request.py
@@ -5,7 +5,7 @@
 import pytest
 
 from godwitshunt.exchange.problems import Outcome, ProblemKind
-from godwitshunt.ingress.life import RequestLife
+from godwitshunt.ingress.lifecycle import RequestLife
 from godwitshunt.ingress.outcomes import (
     Again,
     BreakOff,
--- a/godwitshunt/ingress/tests/test_young_vm.py
+++ b/godwitshunt/ingress/tests/test_startup.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from godwitshunt.ingress.life import RequestLife
+from godwitshunt.ingress.lifecycle import RequestLife
 from godwitshunt.ingress.task import IngressTask
 from godwitshunt.picking.choices import (
     NoPlace,
@@ -31,7 +31,7 @@
 
 @pytest.fixture(autouse=True)
 def _no_wait(monkeypatch):
-    monkeypatch.setattr('godwitshunt.ingress.life.NEWS_WAIT_S', 0)
+    monkeypatch.setattr('godwitshunt.ingress.lifecycle.NEWS_WAIT_S', 0)
 
 
 @pytest.mark.parametrize(
