--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -18,8 +18,8 @@
 
 from godwitshunt.manifest import OrganisationLimit
 from godwitshunt.organisations import (
+    AdmissionShare,
     LimitPool,
-    Standing,
     fixed_shares,
     usable_share,
 )
@@ -129,7 +129,7 @@
             or now_s - self.peers_seen_s.get((region, other), -PEER_TIMEOUT_S)
             < PEER_TIMEOUT_S
         }
-        standing = Standing(
+        standing = AdmissionShare(
             part=usable_share(str(region), names, tuple(names), heard),
             share=1 / REGIONS,
             peers_seen_s=min(
@@ -197,7 +197,7 @@
             for other in range(REGIONS)
             if self.trouble.hears(region_of(vm), other, now_s - PEER_TIMEOUT_S)
         ]
-        standing = Standing(part=len(heard) / REGIONS)
+        standing = AdmissionShare(part=len(heard) / REGIONS)
         pool = self.pools[vm]
         if pool.wait_s(NAME, 1.0, standing, now_s):
             return False
@@ -261,7 +261,7 @@
             return
         self.next_s = now_s + GOSSIP_S
         for vm, one in enumerate(self.limits):
-            one.forget(now_s)
+            one.expire(now_s)
             for name in one.peers_to_notify(now_s):
                 other = int(name)
                 here, there = region_of(vm), region_of(other)
--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -76,7 +76,9 @@
             upstreams={
                 name: upstream(name, region) for name, region in places.items()
             },
-            doors={region: (door(region),) for region in pattern.engines},
+            entry_points={
+                region: (door(region),) for region in pattern.engines
+            },
         )
         self.vms = [
             self.make_vm(region)
@@ -178,8 +180,8 @@
         view = replace(self.view, loads=self.heard.get(id(vm), {}))
         revision = SimpleNamespace(evacuated=frozenset())
         match vm.chooser.choose(ask, view, revision):
-            case SendHere(seen=seen, unread_tokens=unread):
-                self.send(vm, seen.told.incarnation, job, unread)
+            case SendHere(upstream=upstream, unread_tokens=unread):
+                self.send(vm, upstream.announcement.incarnation, job, unread)
             case HandOver(entry=entry):
                 receiver = self.vm_of(entry.region)
                 self.at(
--- a/godwitshunt/ingress/assembly.py
+++ b/godwitshunt/ingress/assembly.py
@@ -7,7 +7,7 @@
 from godwitshunt.ingress.context import Budgets, IngressContext
 from godwitshunt.ingress.crash_detector import CrashDetector
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.chooser import Chooser
 from godwitshunt.picking.client import PickerClient
 from godwitshunt.registry import RegistryWatch
@@ -47,7 +47,9 @@
         upstreams=upstreams,
         neighbours=picker.neighbours,
         chooser=chooser,
-        learner=Learner(upstreams, watch.view, watch.mark_replaced),
+        attempt_recorder=AttemptRecorder(
+            upstreams, watch.view, watch.mark_replaced
+        ),
         picker=picker,
         budgets=make_budgets(settings, timer.now()),
         crash_detector=CrashDetector(watch.quarantine, timer, source),
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -10,8 +10,8 @@
 from godwitshunt.ingress.authorization import Authorizer
 from godwitshunt.ingress.crash_detector import CrashDetector
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.organisations import Standing
-from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.organisations import AdmissionShare
+from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.choices import ChoiceRequest
 from godwitshunt.picking.chooser import (
     Chooser,
@@ -74,7 +74,7 @@
     upstreams: Upstreams
     neighbours: Neighbours
     chooser: Chooser
-    learner: Learner
+    attempt_recorder: AttemptRecorder
     picker: PickerClient
     budgets: Budgets
     crash_detector: CrashDetector
@@ -88,7 +88,7 @@
         """Requests that are suspected of crashing upstreams."""
         return self.watch.quarantine
 
-    def limit_standing(self) -> Standing:
+    def limit_standing(self) -> AdmissionShare:
         """Return this VM's part of organisations' limits, without a picker.
 
         The region's share is left by all other pickers while they don't hear
@@ -97,7 +97,7 @@
         regions = set(self.settings.domains.values())
         regions.add(self.settings.region)
         part = 1 / len(regions) / self.neighbours.count_in_region()
-        return Standing(part, part)
+        return AdmissionShare(part, part)
 
     def cold_share(self) -> float:
         """Return this VM's share of what cold upstreams of its region may
--- a/godwitshunt/ingress/feedback.py
+++ b/godwitshunt/ingress/feedback.py
@@ -101,7 +101,9 @@
             was_held_up=bool(choice.waiting_tokens) or choice.is_cold,
         )
         now_s = self.context.timer.now()
-        self.context.learner.record(report, self.request.service, now_s)
+        self.context.attempt_recorder.record(
+            report, self.request.service, now_s
+        )
         self.context.picker.report_attempt(report)
         if shown is Shown.answered:
             self.count_long_prompt(choice)
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -154,7 +154,7 @@
         self.context.neighbours.round_trips = self.context.watch.round_trips()
         self.context.upstreams.forget(view.upstreams)
         self.context.pool.forget(view.upstreams)
-        self.context.budgets.cold.forget(frozenset(view.upstreams))
+        self.context.budgets.cold.remove_absent(frozenset(view.upstreams))
         self.context.metrics.gauge('ingress_in_progress', self.in_progress)
 
     def apply_revision(self, revision: Revision) -> None:
--- a/godwitshunt/ingress/tests/test_feedback.py
+++ b/godwitshunt/ingress/tests/test_feedback.py
@@ -6,7 +6,7 @@
 
 from godwitshunt.ingress.feedback import AttemptFeedback, CompletedAttempt
 from godwitshunt.ingress.outcomes import Lost, NotRun, Streamed
-from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import Load, RegistryView
@@ -16,7 +16,7 @@
 SLOTS = 48
 
 
-def learner(in_flight: int) -> Learner:
+def attempt_recorder(in_flight: int) -> AttemptRecorder:
     """Return a learner that knows one upstream with a load."""
     announcement = SimpleNamespace(
         incarnation='i-1', slots=SLOTS, service='llm'
@@ -28,7 +28,7 @@
     )
     known = Upstreams()
     known.health['i-1'] = UpstreamHealth(in_flight=in_flight // 2)
-    return Learner(known, lambda: view, lambda incarnation: None)
+    return AttemptRecorder(known, lambda: view, lambda incarnation: None)
 
 
 def counts_against(outcome, in_flight: int) -> bool:
@@ -39,7 +39,7 @@
     )
     made = CompletedAttempt(None, attempt, outcome, None, 0.1)
     shown = AttemptShown('i-1', 'llm', made.shown)
-    learned = learner(in_flight)
+    learned = attempt_recorder(in_flight)
     learned.record(shown, SERVICE, now_s=1.0)
     detector = learned.upstreams.outliers.get('llm')
     return detector is not None and detector.states['i-1'].failures > 0
@@ -81,7 +81,7 @@
     Taken for it, an engine would look the slower the more it is asked, and
     its callers would be refused.
     """
-    learned = learner(in_flight)
+    learned = attempt_recorder(in_flight)
     speed = learned.upstreams.learned(SERVICE)
     before_s = speed.token_s
     made = AttemptShown(
@@ -121,7 +121,9 @@
     )
     context = SimpleNamespace(
         timer=SimpleNamespace(now=lambda: 1.0),
-        learner=SimpleNamespace(record=lambda shown, service, now_s: None),
+        attempt_recorder=SimpleNamespace(
+            record=lambda shown, service, now_s: None
+        ),
         picker=SimpleNamespace(report_attempt=announcement.append),
         quarantine=SimpleNamespace(knows_length=lambda length: False),
     )
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -10,7 +10,7 @@
 from godwitshunt.ingress.outcomes import NotRun
 from godwitshunt.ingress.sending import Sender
 from godwitshunt.ingress.task import IngressTask
-from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.attempt_reports import AttemptShown, Shown
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamAnnounced
@@ -93,9 +93,13 @@
     made = CompletedAttempt(choice, attempt, NotRun('connect'), None, 0.1)
     assert (made.shown is Shown.unreached) is not connected
     upstreams = Upstreams()
-    learner = Learner(upstreams, RegistryView, lambda incarnation: None)
+    attempt_recorder = AttemptRecorder(
+        upstreams, RegistryView, lambda incarnation: None
+    )
     if made.shown is not None:
-        learner.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
+        attempt_recorder.record(
+            AttemptShown('i-1', 'llm', made.shown), None, NOW_S
+        )
     health = upstreams.of('i-1')
     missed = (health.connect_failed_s, health.down_until_s)
     assert (missed == (NOW_S, NOW_S + CONNECT_BACKOFF_S)) is not connected
@@ -107,6 +111,6 @@
     attempt = SimpleNamespace(misdirected=True, connected=True)
     outcome = NotRun('status 421', arrived=True)
     made = CompletedAttempt(None, attempt, outcome, None, 0.1)
-    learner = Learner(Upstreams(), RegistryView, left.append)
-    learner.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
+    attempt_recorder = AttemptRecorder(Upstreams(), RegistryView, left.append)
+    attempt_recorder.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
     assert left == ['i-1']
--- a/godwitshunt/organisations/__init__.py
+++ b/godwitshunt/organisations/__init__.py
@@ -6,21 +6,21 @@
 """
 
 from godwitshunt.organisations.binding import UrgencyLevels, bind_route
+from godwitshunt.organisations.freshness import FreshnessRule
 from godwitshunt.organisations.keys import KeyRing, key_digest
 from godwitshunt.organisations.limits import (
+    AdmissionShare,
     LimitPool,
-    Standing,
     Sums,
     limits_of,
 )
-from godwitshunt.organisations.proofs import FreshnessRule
 from godwitshunt.organisations.shares import fixed_shares, usable_share
 
 __all__ = [
     'KeyRing',
     'LimitPool',
     'FreshnessRule',
-    'Standing',
+    'AdmissionShare',
     'Sums',
     'UrgencyLevels',
     'bind_route',
--- a/godwitshunt/organisations/limits.py
+++ b/godwitshunt/organisations/limits.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class AdmissionShare:
     """How a process stands to the others that admit requests.
 
     Parameters
@@ -112,7 +112,9 @@
         gained = self.limit.per_s * part * passed_s
         self.left = min(self.capacity * part, self.left + gained)
 
-    def wait_s(self, cost: float, standing: Standing, now_s: float) -> float:
+    def wait_s(
+        self, cost: float, standing: AdmissionShare, now_s: float
+    ) -> float:
         """Return the seconds until a request is within the limit.
 
         A request that is larger than the bucket is admitted by a full one,
@@ -129,7 +131,7 @@
         per_s = self.limit.per_s * standing.part
         return max(LEAST_WAIT_S, missing / per_s) if per_s else PEER_TIMEOUT_S
 
-    def own(self, standing: Standing, now_s: float) -> float:
+    def own(self, standing: AdmissionShare, now_s: float) -> float:
         """Return this process's share of what the limit has allowed.
 
         That is since the others were heard: all of them may have admitted
@@ -140,7 +142,7 @@
         allowed = self.capacity + self.limit.per_s * passed_s
         return standing.share * (allowed + USED_SHARE * standing.allowance)
 
-    def untold(self, standing: Standing, now_s: float) -> float:
+    def untold(self, standing: AdmissionShare, now_s: float) -> float:
         """Return what was admitted here since the others were heard."""
         while self.recent and self.recent[0][0] < now_s - PEER_TIMEOUT_S:
             self.recent.popleft()
@@ -188,10 +190,10 @@
     >>> limit = OrganisationLimit(per_s=10.0, burst=10.0)
     >>> pool = LimitPool()
     >>> pool.configure({'wards': limit}, now_s=0.0, starts=False)
-    >>> pool.wait_s('wards', 8.0, Standing(), now_s=0.0)
+    >>> pool.wait_s('wards', 8.0, AdmissionShare(), now_s=0.0)
     0.0
     >>> pool.take('wards', 8.0, now_s=0.0)
-    >>> round(pool.wait_s('wards', 8.0, Standing(), now_s=0.1), 3)
+    >>> round(pool.wait_s('wards', 8.0, AdmissionShare(), now_s=0.1), 3)
     0.5
     """
 
@@ -229,7 +231,7 @@
         self,
         name: str,
         cost: float,
-        standing: Standing,
+        standing: AdmissionShare,
         now_s: float,
     ) -> float:
         """Return the seconds until a request is within its limit; 0 for now."""
--- a/godwitshunt/organisations/tests/test_limits.py
+++ b/godwitshunt/organisations/tests/test_limits.py
@@ -14,8 +14,8 @@
 
 from godwitshunt.manifest import OrganisationLimit
 from godwitshunt.organisations import (
+    AdmissionShare,
     LimitPool,
-    Standing,
     fixed_shares,
     usable_share,
 )
@@ -58,7 +58,7 @@
         self.pool.configure({NAME: LIMIT}, now_s, starts=True)
         self.heard = {}
 
-    def standing(self, now_s: float) -> Standing:
+    def standing(self, now_s: float) -> AdmissionShare:
         """Return what it may admit by."""
         fresh = {
             name: asof_s
@@ -66,7 +66,7 @@
             if now_s - asof_s <= PEER_TIMEOUT_S
         }
         heard = {*fresh, self.name}
-        return Standing(
+        return AdmissionShare(
             part=usable_share(self.name, REGIONS, PICKERS, heard),
             share=fixed_shares(REGIONS)[self.name],
             peers_seen_s=min(fresh.values(), default=inf),
@@ -175,7 +175,7 @@
         return units / (RATE * (self.now_s - since_s))
 
 
-ALL = Standing()
+ALL = AdmissionShare()
 FIRST = {'a-1': 1.0, 'b-1': 1.0, 'c-1': 1.0}
 
 
@@ -327,12 +327,12 @@
     """
     pool = LimitPool()
     pool.configure({NAME: LIMIT}, 0.0, starts=False)
-    told = Standing(share=0.3, peers_seen_s=0.9, allowance=4 * RATE)
+    told = AdmissionShare(share=0.3, peers_seen_s=0.9, allowance=4 * RATE)
     for _ in range(3):
         assert not pool.wait_s(NAME, 30.0, told, 1.0)
         pool.take(NAME, 30.0, 1.0)
     assert pool.wait_s(NAME, 30.0, told, 1.0) > 0
-    untold = Standing(share=0.3, peers_seen_s=0.9)
+    untold = AdmissionShare(share=0.3, peers_seen_s=0.9)
     assert pool.wait_s(NAME, 30.0, untold, 1.0) > 0
 
 
--- a/godwitshunt/picking/attempt_recorder.py
+++ b/godwitshunt/picking/attempt_recorder.py
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Learner:
+class AttemptRecorder:
     """Learns from attempts.
 
     Parameters
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -66,7 +66,7 @@
         if picker is None:
             return None
         name = str(picker)
-        report = self.reports.make(self.watch.contacts.of(name).source)
+        report = self.reports.make(self.watch.contacts.for_control(name).source)
         reply = await self.links.call(
             picker,
             MessageKind.place_ask,
@@ -105,7 +105,7 @@
             request=question.request,
             reason=reason,
         )
-        self.watch.contacts.of(str(picker)).fail()
+        self.watch.contacts.for_control(str(picker)).record_failure()
         self.watch.start_poll(picker)
 
     def report_attempt(self, made: AttemptShown) -> None:
@@ -125,5 +125,7 @@
         picker = self.watch.picker()
         if picker is None:
             return
-        made = self.reports.make(self.watch.contacts.of(str(picker)).source)
+        made = self.reports.make(
+            self.watch.contacts.for_control(str(picker)).source
+        )
         self.links.tell(picker, MessageKind.load_report, encode(made))
--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -5,8 +5,8 @@
 
 from godwitshunt.manifest import Manifest
 from godwitshunt.organisations import (
+    AdmissionShare,
     LimitPool,
-    Standing,
     fixed_shares,
     limits_of,
     usable_share,
@@ -47,23 +47,23 @@
 
     def pickers(self) -> dict[str, list[str]]:
         """Return the control VMs of each region that are known."""
-        regions = set(self.tables.place.regions.values())
-        regions.add(self.tables.place.region)
+        regions = set(self.tables.location.regions.values())
+        regions.add(self.tables.location.region)
         found = {
             region: self.tables.controls_in_region(region) for region in regions
         }
-        here = found[self.tables.place.region]
+        here = found[self.tables.location.region]
         if self.tables.own_name not in here:
             here.append(self.tables.own_name)
         return found
 
-    def standing(self, now_s: float) -> Standing:
+    def standing(self, now_s: float) -> AdmissionShare:
         """Return which part of limits may be admitted here now.
 
         What others have admitted is taken first.
         """
         if not self.pool.buckets:
-            return Standing()
+            return AdmissionShare()
         pickers = self.pickers()
         shares = fixed_shares(pickers)
         heard = {self.tables.own_name: inf}
@@ -78,10 +78,10 @@
             )
             if now_s - table.loads_asof_s <= PEER_TIMEOUT_S:
                 heard[control] = table.loads_asof_s
-        known = {str(one) for one in self.tables.place.others()}
+        known = {str(one) for one in self.tables.location.others()}
         known.update(heard)
         own = self.tables.own_name
-        return Standing(
+        return AdmissionShare(
             part=usable_share(own, pickers, known, heard),
             share=shares[own],
             peers_seen_s=min(heard.values()),
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -16,7 +16,7 @@
 
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.manifest import Route, Service
-from godwitshunt.organisations import LimitPool, Standing
+from godwitshunt.organisations import AdmissionShare, LimitPool
 from godwitshunt.picking.choices import (
     Choice,
     ChoiceRequest,
@@ -40,7 +40,7 @@
 # what cold upstreams may get, and the others share the rest: for a moment some
 # entry VMs may ask one and some another.
 FIRST_SHARE = 0.7
-ALONE = Standing()
+ALONE = AdmissionShare()
 
 
 @dataclass(frozen=True)
@@ -119,14 +119,14 @@
         In force.
     routes : RouteTable
         Of that revision.
-    standing : Standing
+    standing : AdmissionShare
         Which part of organisations' limits may be admitted here.
     """
 
     view: RegistryView
     revision: Revision
     routes: RouteTable
-    standing: Standing = ALONE
+    standing: AdmissionShare = ALONE
 
 
 @dataclass
@@ -217,7 +217,7 @@
     def limit_wait_s(
         self,
         question: DestinationRequest,
-        standing: Standing,
+        standing: AdmissionShare,
         now_s: float,
     ) -> float:
         """Return the seconds until a request is within its limit.
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -8,7 +8,7 @@
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.organisations import LimitPool
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
-from godwitshunt.picking.attempt_recorder import Learner
+from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.attempt_reports import shown_from_wire
 from godwitshunt.picking.choices import (
     HandOver,
@@ -85,9 +85,9 @@
         self.reported: dict[str, frozenset[str]] = {}
         self.of_revision: Revision | None = None
         self.routes = RouteTable()
-        region = registry.place.region
+        region = registry.location.region
         tables = registry.tables
-        neighbours = Neighbours(str(registry.place.address), region)
+        neighbours = Neighbours(str(registry.location.address), region)
         self.picker = Picker(
             region=region,
             upstreams=Upstreams(),
@@ -111,7 +111,7 @@
             bounds.limit_allowance,
         )
         registry.admitted = self.picker.limits.admitted
-        self.learner = Learner(
+        self.attempt_recorder = AttemptRecorder(
             self.picker.upstreams,
             registry.view,
             registry.mark_replaced,
@@ -143,11 +143,11 @@
         """Give no more places; entry VMs ask another picker, or none."""
         if self.subscription is not None:
             self.subscription.cancel()
-        self.registry.gives_places = False
+        self.registry.picker_active = False
 
     def begin(self, reason: str) -> None:
         """Give places from now on."""
-        self.registry.gives_places = True
+        self.registry.picker_active = True
         log_change('picking:began', reason=reason)
 
     def tick(self) -> None:
@@ -158,8 +158,8 @@
         self.follow_revision(now_s)
         self.forget_absent()
         self.picker.upstreams.forget(view.upstreams)
-        self.picker.cold.forget(frozenset(view.upstreams))
-        own = str(self.registry.place.address)
+        self.picker.cold.remove_absent(frozenset(view.upstreams))
+        own = str(self.registry.location.address)
         self.picker.rank_among(
             own, tables.controls_in_region(self.picker.region)
         )
@@ -168,7 +168,7 @@
         # for nothing would look admitted through a silence of theirs.
         self.limits.standing(now_s)
         self.limits.forget(now_s)
-        for region in set(self.registry.place.regions.values()):
+        for region in set(self.registry.location.regions.values()):
             round_trip_s = tables.round_trip_s(region)
             if round_trip_s is not None:
                 trips = self.picker.neighbours.round_trips
@@ -203,7 +203,7 @@
         for made in shown_from_wire(told.shown):
             service = revision and service_of(revision, made.service)
             if service:
-                self.learner.record(made, service, now_s)
+                self.attempt_recorder.record(made, service, now_s)
 
     def note_waits(self, name: str, report: Report) -> None:
         """Note which upstreams have shown an entry VM nothing for how long."""
@@ -226,7 +226,7 @@
         self, question: DestinationRequest, now_s: float
     ) -> Given | Unable:
         """Return where a request goes."""
-        if not self.registry.gives_places:
+        if not self.registry.picker_active:
             return Unable('what runs is not known yet')
         revision = self.follow_revision(now_s)
         if revision is None:
--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -46,7 +46,7 @@
         upstreams={one.told.incarnation: one for one in upstream},
         entries={door.name: door},
         loads=loads or {},
-        doors={'tvm': (door,)},
+        entry_points={'tvm': (door,)},
     )
 
 
--- a/godwitshunt/picking/tests/test_failing_upstreams.py
+++ b/godwitshunt/picking/tests/test_failing_upstreams.py
@@ -47,7 +47,7 @@
     upstream = (make_upstream(HERE, 'kochi'), make_upstream(THERE, 'tvm'))
     return RegistryView(
         upstreams={one.told.incarnation: one for one in upstream},
-        doors={'tvm': (door,)},
+        entry_points={'tvm': (door,)},
     )
 
 
--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -162,7 +162,7 @@
                 control=control,
                 reason=reason,
             )
-        contact.fail()
+        contact.record_failure()
 
     def take(
         self,
--- a/godwitshunt/registry/joined.py
+++ b/godwitshunt/registry/joined.py
@@ -178,7 +178,7 @@
         return RegistryView(
             upstreams=self.join_upstreams(telling, now_s),
             entries=entries,
-            doors=accepting_by_region(entries),
+            entry_points=accepting_by_region(entries),
         )
 
     def join_upstreams(
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -107,7 +107,7 @@
         # forth would age by less than its way each time, and live for ever.
         self.heard_prefixes = PrefixTable()
         self.prefixes = PrefixTable()
-        self.gives_places = False
+        self.picker_active = False
         # What the picker beside this registry has admitted, by organisation.
         self.admitted: Mapping[str, float] = {}
         self.report_notices: list[ReportNotice] = []
@@ -332,7 +332,7 @@
                 now_s,
             ),
             prefixes_version=prefixes.version,
-            gives_places=self.gives_places,
+            gives_places=self.picker_active,
             suspects=suspects_to_wire(suspects.records, now_s),
             suspects_version=suspects.version,
         )
--- a/godwitshunt/registry/tests/test_news_bounds.py
+++ b/godwitshunt/registry/tests/test_news_bounds.py
@@ -131,7 +131,7 @@
 async def test_a_vm_that_moves_to_another_relay_is_told_changes_only():
     """Versions are the control VM's own, whoever tells its table."""
     region = await Region().start()
-    region.watch.contacts.of(str(address(1))).fail()
+    region.watch.contacts.for_control(str(address(1))).record_failure()
     await region.watch.poll(address(2))
     now_s = region.deployment.timer.now()
     message = region.watch.make_poll(str(address(2)), now_s)
--- a/godwitshunt/registry/views.py
+++ b/godwitshunt/registry/views.py
@@ -282,4 +282,6 @@
     upstreams: Mapping[str, UpstreamSeen] = field(default_factory=dict)
     entries: Mapping[str, EntryRecord] = field(default_factory=dict)
     loads: Mapping[str, Load] = field(default_factory=dict)
-    doors: Mapping[str, tuple[EntryRecord, ...]] = field(default_factory=dict)
+    entry_points: Mapping[str, tuple[EntryRecord, ...]] = field(
+        default_factory=dict
+    )
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -209,7 +209,7 @@
         known = []
         for address in self.control():
             table = self.joined.tables.get(str(address))
-            contact = self.contacts.of(str(address))
+            contact = self.contacts.for_control(str(address))
             is_here = contact.region == self.region
             asof_s = float('-inf') if table is None else table.answered_s
             known.append(KnownControl(str(address), is_here, asof_s))
@@ -283,7 +283,7 @@
         """Ask one control VM for what is new."""
         control = str(address)
         sent_s = self.timer.now()
-        contact = self.contacts.of(control)
+        contact = self.contacts.for_control(control)
         contact.asked_s = sent_s
         told = self.own_version(control)
         reply = await self.links.call(
@@ -302,7 +302,7 @@
 
     def retry_initial_poll(self, address: Address) -> None:
         """Ask a control VM that never answered again, soon."""
-        never = not self.contacts.of(str(address)).source
+        never = not self.contacts.for_control(str(address)).source
         if never and self.is_young and self.subscription is not None:
             self.timer.after(FIRST_RETRY_S, partial(self.start_poll, address))
 
@@ -313,7 +313,7 @@
     def make_poll(self, control: str, now_s: float) -> ttypes.Poll:
         """Return what one control VM is told and asked."""
         known = self.known_control()
-        contact = self.contacts.of(control)
+        contact = self.contacts.for_control(control)
         if control != self.contacts.first(known, now_s):
             return question_to_another(contact, self.joined)
         own = self.own()
@@ -347,10 +347,10 @@
         was_first = self.first()
         for news in message.tables or ():
             self.take_table(control, news, sent_s, now_s)
-        contact = self.contacts.of(control)
+        contact = self.contacts.for_control(control)
         is_known = message.source == contact.source
         contact.answer(message.source, sent_s, now_s)
-        contact.gives_places = bool(message.gives_places)
+        contact.picker_active = bool(message.gives_places)
         contact.region = message.region or ''
         contact.misses = missed_tables(message, sent_s)
         self.prefixes.take(prefixes_from_wire(message.prefixes, now_s))
@@ -372,7 +372,7 @@
 
         Only the first control VM is told of lost requests.
         """
-        told = self.contacts.of(control).suspects_told
+        told = self.contacts.for_control(control).suspects_told
         if control == self.first():
             told = self.quarantine.own.delta(told).version
         return OwnVersion(self.own_prefixes.version, told)
@@ -431,7 +431,7 @@
     def note_lost(self, control: str, reason: str) -> None:
         """Count a call without answer; log the first of several."""
         self.metrics.count('registry_polls_failed_total')
-        self.contacts.of(control).fail()
+        self.contacts.for_control(control).record_failure()
         if control not in self.lost:
             self.lost.add(control)
             log_change('registry:control_lost', control=control, reason=reason)
--- a/godwitshunt/routing/cold_budget.py
+++ b/godwitshunt/routing/cold_budget.py
@@ -94,7 +94,7 @@
             sent.popleft()
         return len(sent) < floor(bound * share)
 
-    def forget(self, present: frozenset[str]) -> None:
+    def remove_absent(self, present: frozenset[str]) -> None:
         """Drop upstreams that are gone."""
         for instance in self.sent.keys() - present:
             self.sent.pop(instance)
