--- a/godwitshunt/ingress/active_revision.py
+++ b/godwitshunt/ingress/active_revision.py
@@ -39,7 +39,7 @@
     def low_urgency_regions(
         self, route: Route, service: Service
     ) -> frozenset[str]:
-        """Return where nothing more urgent than a route has a home."""
+        """Return the regions that are no home of any more urgent route."""
         return self.table.quiet.get((service.name, route.rank), frozenset())
 
     def route_of(
--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -17,9 +17,9 @@
 from godwitshunt.ingress.prompts import Prompt
 from godwitshunt.ingress.requests import (
     RoutedRequest,
-    deadline_s,
+    caller_timeout_s,
+    read_last_event_id,
     read_prompt,
-    resume_after,
 )
 from godwitshunt.manifest import Organisation, Route, Service
 from godwitshunt.organisations import key_digest
@@ -190,7 +190,7 @@
         if is_too_long(prompt, service):
             detail = 'its prompt is longer than the memory of any upstream'
             return refusal(ProblemKind.no_upstream, detail)
-        timeout_s = min(bound.timeout_s, deadline_s(http, self.names))
+        timeout_s = min(bound.timeout_s, caller_timeout_s(http, self.names))
         return Ok(
             RoutedRequest(
                 id=http.header(self.names.request_id) or '',
@@ -201,7 +201,7 @@
                 prompt=prompt,
                 arrived_s=now_s,
                 deadline_at_s=now_s + timeout_s,
-                resume_after=resume_after(http, self.names),
+                resume_after=read_last_event_id(http, self.names),
                 low_urgency_regions=active_revision.low_urgency_regions(
                     bound, service
                 ),
--- a/godwitshunt/ingress/attempt.py
+++ b/godwitshunt/ingress/attempt.py
@@ -143,7 +143,7 @@
         self.on_stage(Stage.sent)
         head = await self.call.head(self.outgoing, self.timeouts.first_s)
         self.on_activity()
-        self.on_stage(Stage.heard)
+        self.on_stage(Stage.answer_started)
         fields = dict(head.headers)
         if self.names.not_run in fields or head.status == MISDIRECTED:
             return await self.receive_refusal(head)
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -88,11 +88,12 @@
         """Requests that are suspected of crashing upstreams."""
         return self.watch.quarantine
 
-    def limit_standing(self) -> AdmissionShare:
-        """Return this VM's part of organisations' limits, without a picker.
+    def limit_share(self) -> AdmissionShare:
+        """Return this VM's share of organisations' limits without a picker.
 
-        The region's share is left by all other pickers while they don't hear
-        this region's; its entry VMs have equal parts of it.
+        The pickers of other regions leave this region's share unused while
+        they do not hear from its picker; the entry VMs of the region split it
+        equally.
         """
         regions = set(self.settings.domains.values())
         regions.add(self.settings.region)
@@ -100,8 +101,7 @@
         return AdmissionShare(part, part)
 
     def cold_share(self) -> float:
-        """Return this VM's share of what cold upstreams of its region may
-        receive.
+        """Return this VM's share of requests to cold upstreams of its region.
 
         Zero where the region has control VMs: their pickers share the whole,
         and anything that VMs send besides could exceed what the upstreams can
@@ -114,10 +114,10 @@
     def has_cold_capacity(
         self, upstream: UpstreamSeen, ask: ChoiceRequest
     ) -> bool:
-        """Tell whether this VM may send a cold upstream one more request."""
+        """Tell whether this VM may send a cold upstream another request."""
         cold = ask.service.cold_start
         return cold is None or self.budgets.cold.has_room(
-            upstream.told.incarnation,
+            upstream.announcement.incarnation,
             cold.requests_per_s,
             self.cold_share(),
             ask.now_s,
--- a/godwitshunt/ingress/feedback.py
+++ b/godwitshunt/ingress/feedback.py
@@ -49,7 +49,7 @@
     @property
     def incarnation(self) -> str:
         """Incarnation of the upstream."""
-        return self.choice.upstream.told.incarnation
+        return self.choice.upstream.announcement.incarnation
 
     @property
     def shown(self) -> Shown | None:
@@ -114,12 +114,14 @@
         Repeats of a request have one fingerprint, whatever their ids. An
         upstream that is leaving ends as announced, whatever it runs.
         """
-        told = completed.choice.upstream.told
-        if completed.attempt.closed_by_peer and not self.is_leaving(told):
+        announcement = completed.choice.upstream.announcement
+        if completed.attempt.closed_by_peer and not self.is_leaving(
+            announcement
+        ):
             self.context.crash_detector.record_loss(
                 self.request,
                 target_incarnation(completed.choice),
-                told.address,
+                announcement.address,
                 completed.took_s,
             )
         first_s = completed.first_s
@@ -134,12 +136,12 @@
             reason=lost.reason,
         )
 
-    def is_leaving(self, told: UpstreamAnnounced) -> bool:
+    def is_leaving(self, announcement: UpstreamAnnounced) -> bool:
         """Tell whether an upstream has announced that it leaves."""
         watch = self.context.watch
-        current = watch.view().upstreams.get(told.incarnation)
-        is_draining = current is not None and current.told.draining
-        return is_draining or watch.has_ended(told)
+        current = watch.view().upstreams.get(announcement.incarnation)
+        is_draining = current is not None and current.announcement.draining
+        return is_draining or watch.has_ended(announcement)
 
     def record_whole_answer(self) -> None:
         """Clear a suspected request that was answered whole."""
@@ -198,6 +200,6 @@
     """
     match choice:
         case SendHere(upstream=upstream):
-            return upstream.told.incarnation
+            return upstream.announcement.incarnation
         case HandOver(entry=entry):
             return f'{entry.region}/{entry.name}~{entry.session}'
--- a/godwitshunt/ingress/hops.py
+++ b/godwitshunt/ingress/hops.py
@@ -1,4 +1,4 @@
-"""Requests that are handed over to an entry VM of another region."""
+"""Requests that are forwarded between entry VMs of different regions."""
 
 from result import Err, Ok, Result
 
@@ -21,8 +21,8 @@
 from godwitshunt.ingress.requests import RoutedRequest, read_prompt
 from godwitshunt.registry import EntryRecord
 
-# A connection is made in one round trip; lost packets are sent again after
-# a second.
+# A connection takes one round trip. Lost packets are retransmitted only after
+# one second.
 CONNECT_TIMEOUT_S = 0.6
 LONGEST_IDLE_S = 8.0
 ANONYMOUS = '-'
@@ -37,7 +37,7 @@
     *,
     repeat: bool,
 ) -> OutgoingRequest:
-    """Return a request as another entry VM gets it."""
+    """Return a request as it is sent to another entry VM."""
     http = request.http
     settings = context.settings
     note = ForwardNote(
@@ -84,11 +84,11 @@
     active_revision: ActiveRevision,
     context: IngressContext,
 ) -> Result[RoutedRequest, ForwardRefused]:
-    """Read a request that another VM handed over, its note checked.
+    """Read a forwarded request and verify its note.
 
     The sender chose route and service by its own revision, which may be newer
-    or older than the one in force here; the receiver looks up how the route's
-    requests may be repeated, and where their homes are.
+    or older than the active one here. Whether the request may be repeated, and
+    its homes, are looked up in the active one.
     """
     header = http.header(FORWARD_HEADER)
     if header is None:
--- a/godwitshunt/ingress/lifecycle.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of one request: choose, send, and choose again where allowed."""
+"""Lifecycle of one request: choose, send and retry where allowed."""
 
 import asyncio
 from dataclasses import dataclass
@@ -43,12 +43,12 @@
 from godwitshunt.routing.selection import Demand
 
 RETRY_AFTER_S = 0.3
-# A VM that has just started hears of upstreams and of other regions' VMs by
-# and by; a request that finds none waits for the next news, so often and so
-# long each, rather than come back after its objective.
+# A VM that has started recently learns of upstreams and of other regions' VMs
+# gradually. A request that finds none waits for updates this often and this
+# long; a refused caller would come back after its objective.
 MAX_UPDATE_WAITS = 3
 UPDATE_WAIT_S = 0.1
-# A picker that gives places which this VM knows better of is asked so often.
+# Queries to a picker whose choices this VM knows to be outdated.
 MAX_PICKER_QUERIES = 3
 
 
@@ -59,18 +59,25 @@
     Parameters
     ----------
     context : IngressContext
-        What every request is served with.
+        Shared state of the entry VM.
     request : RoutedRequest
         The request.
     writer : AnswerWriter
-        Where its answer goes.
+        Writes the answer to the caller.
+    is_caller_gone : bool
+        True where the caller has disconnected.
+    is_charged : bool
+        True while one attempt is charged to the organisation's limit and has
+        not run.
+    is_probe : bool
+        True where the request is tried on probation.
     """
 
     context: IngressContext
     request: RoutedRequest
     writer: AnswerWriter
     retry_after_s: float = RETRY_AFTER_S
-    gone: bool = False
+    is_caller_gone: bool = False
     is_charged: bool = False
     is_quarantined: bool = False
     is_probe: bool = False
@@ -78,8 +85,8 @@
 
     def __post_init__(self) -> None:
         route = self.request.route
-        # The VM that handed it over counts the attempts: with two counts, a
-        # request runs on more upstreams than its route allows.
+        # The VM that forwarded the request counts the attempts. With two
+        # counts, a request could run on more upstreams than its route allows.
         attempts = 1 if self.request.is_forwarded else route.attempts
         self.progress = Progress(
             route.repeatable,
@@ -96,7 +103,13 @@
         )
 
     async def run(self) -> None:
-        """Serve the request; raise where the caller went away."""
+        """Serve the request.
+
+        Raises
+        ------
+        ConnectionResetError
+            Where the caller has disconnected or its answer was broken off.
+        """
         channel = self.writer.channel
         if channel.ended:
             raise ConnectionResetError('the caller is gone')
@@ -105,11 +118,11 @@
         self.trace.record_stage(Stage.admitted, now_s)
         channel.on_lost = self.cancel_for_lost_caller
         try:
-            step = await self.decide()
+            step = await self.run_attempts()
             channel.on_lost = None
             await self.send_result(step)
         except asyncio.CancelledError:
-            if not self.gone:
+            if not self.is_caller_gone:
                 raise
             self.task.uncancel()
             self.close_trace('caller gone')
@@ -118,12 +131,12 @@
             channel.on_lost = None
 
     def cancel_for_lost_caller(self) -> None:
-        """Stop work that nobody waits for."""
-        self.gone = True
+        """Cancel the request because its caller has disconnected."""
+        self.is_caller_gone = True
         self.task.cancel()
 
-    async def decide(self) -> Step:
-        """Make attempts until one step ends the request."""
+    async def run_attempts(self) -> Step:
+        """Make attempts until the request is settled or its deadline passes."""
         remaining_s = self.request.remaining_s(self.context.timer.now())
         try:
             async with asyncio.timeout(max(0.0, remaining_s - RETURN_MARGIN_S)):
@@ -136,21 +149,21 @@
                 self.context.quarantine.end_probe(self.request.fingerprint)
 
     async def make_attempts(self) -> Step:
-        """Choose and send until an attempt settles the request."""
+        """Make attempts until the request is settled."""
         step: Step = Retry()
         while isinstance(step, Retry):
             step = self.quarantine_step() or await self.make_attempt()
         return step
 
     async def make_attempt(self) -> Step:
-        """Choose and send once; return what to do next."""
+        """Choose a destination and send once; return the next step."""
         choice = await self.choose_after_updates()
         self.trace.record_stage(Stage.placed, self.context.timer.now())
         if isinstance(choice, NoPlace):
             return self.refuse(choice)
         if isinstance(choice, Limited):
             return self.refuse_limited(choice)
-        refusal = self.authority_refusal()
+        refusal = self.authorizer_refusal()
         if refusal is not None:
             return refusal
         outcome = await self.sender.send(choice)
@@ -163,10 +176,10 @@
         choice: SendHere | HandOver,
         outcome: AttemptOutcome,
     ) -> None:
-        """Note what an attempt shows of the request's next one.
+        """Update the state that the next attempt depends on.
 
-        One that was lost before is sent again only once it is known whether
-        its upstream ended: that may be the last end before it is suspected.
+        A request that was lost before is not sent again until it is known
+        whether its upstream crashed: that crash may make it suspected.
         """
         self.is_charged = isinstance(outcome, NotRun)
         if isinstance(outcome, NotRun) and outcome.is_final:
@@ -181,8 +194,8 @@
     def quarantine_step(self) -> Step | None:
         """Return the last step of a request that must not be sent.
 
-        One that is merely suspected is not sent again by this system: the
-        next upstream that ends would be the third.
+        A request that is only suspected is sent once more, but not retried:
+        the next crash would be the third.
         """
         quarantine = self.context.quarantine
         if not quarantine.knows_length(len(self.request.http.body)):
@@ -208,7 +221,7 @@
         return None
 
     async def choose_after_updates(self) -> Choice:
-        """Return where the request goes, perhaps after the next news."""
+        """Choose a destination, waiting for updates while the VM warms up."""
         choice = await self.choose()
         for _ in range(MAX_UPDATE_WAITS):
             if not self.may_wait_for_updates(choice):
@@ -218,12 +231,14 @@
         return choice
 
     def may_wait_for_updates(self, choice: Choice) -> bool:
-        """Tell whether no upstream is known since the VM is young."""
-        nowhere = isinstance(choice, NoPlace) and not choice.overloaded
-        return nowhere and self.context.watch.is_young
+        """Tell whether there is no upstream because the VM is warming up."""
+        has_no_destination = (
+            isinstance(choice, NoPlace) and not choice.overloaded
+        )
+        return has_no_destination and self.context.watch.is_young
 
     async def choose(self) -> Choice:
-        """Return where the request goes now, its budgets spent."""
+        """Choose a destination and spend its budgets."""
         while True:
             choice = await self.query_picker()
             if choice is None:
@@ -238,13 +253,13 @@
                 return NoPlace(overloaded=True, retry_after_s=RETRY_AFTER_S)
             if isinstance(choice, HandOver) or self.spend_cold_request(choice):
                 return choice
-            self.sender.excluded.add(choice.upstream.told.incarnation)
+            self.sender.excluded.add(choice.upstream.announcement.incarnation)
 
     async def query_picker(self) -> Choice | None:
         """Return the picker's choice; None where this VM must choose.
 
-        A picker may lag behind what this VM knows of upstreams that leave and
-        of the configuration in force; such a place is not used.
+        A picker may lag behind this VM on upstreams that leave and on the
+        active revision. Such a choice is not used.
         """
         for _ in range(MAX_PICKER_QUERIES):
             choice = await self.context.picker.place(self.question())
@@ -255,7 +270,7 @@
         return None
 
     def question(self) -> DestinationRequest:
-        """Return what the picker is asked."""
+        """Return the query to the picker."""
         request = self.request
         now_s = self.context.timer.now()
         service = request.service.name
@@ -275,21 +290,21 @@
         )
 
     def record_charge(self, choice: Choice | None) -> None:
-        """Note that a place was counted in the organisation's limit."""
+        """Record that a choice was charged to the organisation's limit."""
         if isinstance(choice, (SendHere, HandOver)):
             self.is_charged = True
 
     def cost(self) -> float:
-        """Return what one more sending counts for in the limit.
+        """Return what the next attempt costs in the organisation's limit.
 
-        What was given a place and has not run yet is counted already: a
-        refusal of another region or a full upstream would else take the
-        limit's units for nothing, twice or more for one request.
+        An attempt that was charged and did not run is not charged again.
+        Otherwise each refusal by a full upstream or another region would use
+        up units of the limit.
         """
         return 0.0 if self.is_charged else self.request.cost
 
     def is_valid_choice(self, choice: Choice) -> bool:
-        """Tell whether a picker's choice fits all that this VM knows."""
+        """Tell whether a picker's choice agrees with what this VM knows."""
         match choice:
             case SendHere(upstream=upstream):
                 return self.is_usable(upstream)
@@ -299,32 +314,36 @@
         return True
 
     def is_usable(self, upstream: UpstreamSeen) -> bool:
-        """Tell whether an upstream may get the request, by what is known here.
+        """Tell whether an upstream may receive the request.
 
-        What this VM has heard from any control VM holds: that an upstream
-        leaves, that its start is over, that its failure domain is evacuated.
+        An upstream is unusable once any control VM has reported that it is
+        leaving, that its incarnation has ended or that its failure domain is
+        evacuated.
         """
-        told = upstream.told
+        announcement = upstream.announcement
         homes = self.request.route.homes
         known = self.context.watch.view().upstreams.get(
-            told.incarnation, upstream
+            announcement.incarnation, upstream
+        )
+        is_leaving = (
+            known.announcement.draining
+            or self.context.watch.has_ended(announcement)
         )
-        is_leaving = known.told.draining or self.context.watch.has_ended(told)
         is_home = not homes or self.context.settings.region in homes
         evacuated = self.context.active_revision().revision.evacuated
-        is_evacuated = told.failure_domain in evacuated
+        is_evacuated = announcement.failure_domain in evacuated
         return is_home and not is_leaving and not is_evacuated
 
     def exclude(self, choice: SendHere | HandOver) -> None:
-        """Ask for another place than this one."""
+        """Exclude a destination from further choices."""
         match choice:
             case SendHere(upstream=upstream):
-                self.sender.excluded.add(upstream.told.incarnation)
+                self.sender.excluded.add(upstream.announcement.incarnation)
             case HandOver(entry=entry):
                 self.sender.excluded.add(entry.region)
 
     def demand(self) -> Demand:
-        """Return what the request asks of an upstream."""
+        """Return what the request requires of an upstream."""
         prompt = self.request.prompt
         return Demand(
             prompt.prompt_tokens,
@@ -335,14 +354,14 @@
         )
 
     def choose_locally(self) -> Choice:
-        """Return this VM's own choice, within its own part of limits."""
+        """Return this VM's own choice, within its share of the limits."""
         limits = self.context.picker.reports.limits
         name, cost = self.request.organisation_name, self.cost()
         is_limited = name and not self.request.is_forwarded
         now_s = self.context.timer.now()
         if is_limited:
-            status = self.context.limit_standing()
-            wait_s = limits.wait_s(name, cost, status, now_s)
+            share = self.context.limit_share()
+            wait_s = limits.wait_s(name, cost, share, now_s)
             if wait_s:
                 return Limited(wait_s)
         choice = self.choose_locally_unlimited()
@@ -351,7 +370,7 @@
         return choice
 
     def choose_locally_unlimited(self) -> Choice:
-        """Return this VM's own choice on what is known now."""
+        """Return this VM's own choice, whatever the limits."""
         request = self.request
         now_s = self.context.timer.now()
         ask = ChoiceRequest(
@@ -374,7 +393,7 @@
         return self.context.chooser.choose(ask, view, revision)
 
     def spend_retry(self) -> bool:
-        """Take one repeat from the budget where an upstream had it before."""
+        """Spend one retry of the budget where an upstream had the request."""
         if not self.progress.arrivals:
             return True
         window = self.context.budgets.retry_window(self.request.service.name)
@@ -385,19 +404,19 @@
         return False
 
     def spend_cold_request(self, choice: SendHere) -> bool:
-        """Take one request from a cold upstream's budget."""
+        """Spend one request of a cold upstream's budget."""
         cold = self.request.service.cold_start
         if choice.chosen_by_picker or not choice.is_cold or cold is None:
             return True
         return self.context.budgets.cold.spend(
-            choice.upstream.told.incarnation,
+            choice.upstream.announcement.incarnation,
             cold.requests_per_s,
             self.context.cold_share(),
             self.context.timer.now(),
         )
 
     def refuse(self, choice: NoPlace) -> Step:
-        """Return the last step of a request that has no place."""
+        """Return the last step of a request without a destination."""
         self.retry_after_s = choice.retry_after_s
         step = self.progress.give_up()
         refused = isinstance(step, RefuseWith)
@@ -411,14 +430,14 @@
         self.retry_after_s = choice.retry_after_s
         return self.refuse_as(ProblemKind.limited)
 
-    def authority_refusal(self) -> Step | None:
-        """Return the last step of a request whose key holds no more."""
+    def authorizer_refusal(self) -> Step | None:
+        """Return the last step of a request that is no longer authorized."""
         active_revision = self.context.active_revision()
         kind = self.context.authorizer.refusal(self.request, active_revision)
         return None if kind is None else self.refuse_as(kind)
 
     def refuse_as(self, kind: ProblemKind) -> Step:
-        """Return the last step of a request that may not be sent."""
+        """Return the last step of a request that must not be sent."""
         step = self.progress.give_up()
         is_refused = isinstance(step, RefuseWith)
         if is_refused and step.outcome is Outcome.not_run:
@@ -427,7 +446,13 @@
         return step
 
     async def send_result(self, step: Step) -> None:
-        """Send the caller the end of its answer."""
+        """Send the caller the rest of its answer.
+
+        Raises
+        ------
+        ConnectionResetError
+            Where an answer was broken off.
+        """
         match step:
             case Deliver(answer):
                 self.trace.record_answer_start(self.context.timer.now())
@@ -446,7 +471,7 @@
                 await self.writer.whole(self.render(problem))
 
     def render(self, problem: Problem) -> WholeAnswer:
-        """Return a refusal; one that did not run says when to come back."""
+        """Return a refusal, with a time to retry where nothing ran."""
         answer = render_problem(problem)
         if problem.outcome is not Outcome.not_run:
             return answer
@@ -462,7 +487,7 @@
         )
 
     def close_trace(self, ending: str) -> None:
-        """Log and count how the request ended, and by which decisions."""
+        """Log and count the ended request."""
         self.trace.close(
             ending,
             self.progress,
--- a/godwitshunt/ingress/outcomes.py
+++ b/godwitshunt/ingress/outcomes.py
@@ -1,29 +1,29 @@
-"""What one attempt came to, and what a request does next; pure."""
+"""Outcomes of attempts and the next steps of requests, without I/O."""
 
 from dataclasses import dataclass, field
 
 from godwitshunt.exchange.problems import Outcome, ProblemKind, WholeAnswer
 
-# Upstreams and VMs that one request is offered to, at most: each refusal
-# takes a moment, and after several the news of the rest are no better.
+# Attempts of any kind per request. Each refusal takes time, and after several
+# of them the remaining candidates are unlikely to do better.
 MAX_SENDS = 4
-# With less time than this left, another attempt would not be answered.
+# Another attempt would not be answered in less time than this.
 MIN_REMAINING_S = 0.05
 NO_ATTEMPT = 'no attempt was made'
 
 
 @dataclass(frozen=True)
 class NotRun:
-    """The request did not run, and never will, by this attempt.
+    """The request did not run, and this attempt will never run it.
 
     Parameters
     ----------
     reason : str
-        For logs and counters.
+        For logs and metrics.
     arrived : bool
-        True where an upstream got it and turned it away.
+        True where an upstream received and refused it.
     is_final : bool
-        True where it is not to be sent elsewhere.
+        True where it must not be sent elsewhere.
     """
 
     reason: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Lost:
-    """No whole answer came, and the request may have run."""
+    """No whole answer was received, and the request may have run."""
 
     reason: str
 
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """A whole answer came."""
+    """A whole answer was received."""
 
     answer: WholeAnswer
 
 
 @dataclass(frozen=True)
 class Streamed:
-    """A stream was passed on to its clean end."""
+    """A stream was relayed to its regular end."""
 
 
 AttemptOutcome = NotRun | Lost | Failed | Answered | Streamed
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Retry:
-    """Try once more."""
+    """Make another attempt."""
 
 
 @dataclass(frozen=True)
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class RefuseWith:
-    """Send the caller a refusal of this system."""
+    """Send the caller a refusal by this system."""
 
     kind: ProblemKind
     detail: str
@@ -96,24 +96,26 @@
 
 @dataclass
 class Progress:
-    """How far a request has come.
+    """Progress of a request over its attempts.
 
     Parameters
     ----------
     repeatable : bool
-        True where running it twice does no harm.
+        True where the request may run more than once.
     attempts : int
-        Upstreams that may run it.
+        Attempts that may run it.
     runs : int
-        Attempts that may have run it.
+        Attempts that may have run it so far.
     sends : int
-        Attempts of any kind.
+        Attempts of any kind so far.
     arrivals : int
         Attempts that reached an upstream.
     begun : bool
         True where the caller has been sent the head of an answer.
     fallback : WholeAnswer or None
-        An upstream's failure, told where no better answer comes.
+        An upstream's failure, returned where no better answer is received.
+    reasons : list of str
+        Why each attempt did not succeed.
     """
 
     repeatable: bool
@@ -126,7 +128,7 @@
     reasons: list[str] = field(default_factory=list)
 
     def next_step(self, outcome: AttemptOutcome, remaining_s: float) -> Step:
-        """Count an attempt; return what to do next."""
+        """Record the outcome of an attempt; return the next step."""
         self.sends += 1
         match outcome:
             case Streamed():
@@ -148,13 +150,13 @@
         return self.give_up()
 
     def record_run(self, reason: str) -> None:
-        """Count an attempt that may have run."""
+        """Record an attempt that may have run."""
         self.runs += 1
         self.arrivals += 1
         self.reasons.append(reason)
 
     def may_retry(self, remaining_s: float) -> bool:
-        """Tell whether one more attempt is allowed and worth its while."""
+        """Tell whether another attempt is allowed and has enough time."""
         if self.sends >= MAX_SENDS or remaining_s < MIN_REMAINING_S:
             return False
         if not self.runs:
@@ -162,10 +164,10 @@
         return self.repeatable and self.runs < self.attempts
 
     def give_up(self) -> Step:
-        """Return the last step of a request that got no answer.
+        """Return the last step of a request without an answer.
 
-        *Not run* is said only where no attempt can have run it: callers send
-        a request again that did not run, and it must not run twice.
+        The outcome is *not run* only where no attempt can have run: callers
+        repeat such requests, which must not run twice.
         """
         if self.begun:
             return BreakOff()
@@ -178,7 +180,7 @@
         return RefuseWith(ProblemKind.no_upstream, detail, Outcome.not_run)
 
     def refuse_quarantined(self, reason: str) -> Step:
-        """Return the last step of a request that crashes upstreams."""
+        """Return the last step of a quarantined request."""
         if reason not in self.reasons:
             self.reasons.append(reason)
         step = self.give_up()
@@ -188,7 +190,7 @@
         return step
 
     def expire(self, *, in_flight: bool) -> Step:
-        """Return the last step of a request whose time is over."""
+        """Return the last step of a request whose deadline has passed."""
         if self.begun:
             return BreakOff()
         if self.fallback is not None:
--- a/godwitshunt/ingress/prompts.py
+++ b/godwitshunt/ingress/prompts.py
@@ -1,4 +1,4 @@
-"""What a request tells of its prompt."""
+"""Prompt sizes and parts, as stated by a request's headers."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -15,7 +15,9 @@
     Parameters
     ----------
     key : int
-        Names the part's tokens; requests that share it share the tokens.
+        Identifies the tokens of the part; equal keys mean equal tokens.
+    tokens : int
+        Number of tokens.
     """
 
     key: int
@@ -29,13 +31,13 @@
     Parameters
     ----------
     parts : tuple of PromptPart
-        In order. The last one is the request's own.
+        In order. The last one is not shared with other requests.
     prompt_tokens : int
-        Tokens to read.
+        Tokens of the prompt.
     output_tokens : int
-        Tokens to generate, at most.
+        Maximum number of tokens to generate.
     stated_prompt_tokens : int
-        Tokens to read, as the request tells them beside its parts.
+        Tokens of the prompt as stated by the request, apart from its parts.
 
     Examples
     --------
@@ -55,28 +57,29 @@
 
     @classmethod
     def from_headers(cls, parts: str | None, counts: str | None) -> Self:
-        """Read what the headers tell; what cannot be read counts as nothing.
+        """Parse the headers; malformed ones count as absent.
 
-        A wrong hint costs a worse place, which is no reason to refuse.
+        A wrong hint only leads to a worse choice of upstream, which is no
+        reason to refuse the request.
         """
-        read = read_parts(parts or '')
-        attempt_numbers = read_counts(counts or '')
-        known = sum(part.tokens for part in read)
+        parsed = read_parts(parts or '')
+        counted = read_counts(counts or '')
+        parts_total = sum(part.tokens for part in parsed)
         return cls(
-            read,
-            max(attempt_numbers[0], known),
-            attempt_numbers[1],
-            attempt_numbers[0],
+            parsed,
+            max(counted[0], parts_total),
+            counted[1],
+            counted[0],
         )
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of all parts but the request's own."""
+        """Tokens of all parts but the last."""
         return sum(part.tokens for part in self.parts[:-1])
 
     @property
     def shared_key(self) -> int | None:
-        """Names the shared parts as a whole; None where there are none."""
+        """Key of all shared parts together; None where there are none."""
         shared = self.parts[:-1]
         if not shared:
             return None
@@ -84,24 +87,24 @@
 
     @property
     def is_worth_caching(self) -> bool:
-        """True where shared parts are long enough to go to their holder."""
+        """True where the shared parts are long enough to choose by cache."""
         return self.shared_tokens >= MIN_SHARED_TOKENS
 
     @property
     def own_key(self) -> int | None:
-        """Names the request's own part; None where there are no parts."""
+        """Key of the last part; None where there are no parts."""
         return self.parts[-1].key if self.parts else None
 
 
-# Keys pass between VMs as signed integers of 64 bits.
+# Keys are sent between VMs as signed integers of 64 bits.
 KEY_MASK = (1 << 63) - 1
 
 
-def read_parts(told: str) -> tuple[PromptPart, ...]:
-    """Read ``ID:TOKENS`` by commas."""
+def read_parts(header: str) -> tuple[PromptPart, ...]:
+    """Parse comma-separated ``ID:TOKENS``; empty where malformed."""
     found = []
-    for one in told.split(',')[:MAX_PARTS]:
-        key, _, tokens = one.strip().partition(':')
+    for each in header.split(',')[:MAX_PARTS]:
+        key, _, tokens = each.strip().partition(':')
         try:
             found.append(PromptPart(int(key, 16), max(0, int(tokens))))
         except ValueError:
@@ -109,9 +112,9 @@
     return tuple(found)
 
 
-def read_counts(told: str) -> tuple[int, int]:
-    """Read prompt and output tokens by a comma."""
-    prompt, _, output = told.partition(',')
+def read_counts(header: str) -> tuple[int, int]:
+    """Parse ``PROMPT,OUTPUT`` tokens; zeros where malformed."""
+    prompt, _, output = header.partition(',')
     try:
         return max(0, int(prompt)), max(0, int(output or 0))
     except ValueError:
--- a/godwitshunt/ingress/request_trace.py
+++ b/godwitshunt/ingress/request_trace.py
@@ -74,7 +74,7 @@
         self.control_age_s = control_age_s
         match choice:
             case SendHere(upstream=upstream):
-                destination = upstream.told.incarnation
+                destination = upstream.announcement.incarnation
             case HandOver(entry=entry):
                 destination = f'{entry.region}/{entry.name}'
             case NoPlace(overloaded=overloaded):
@@ -93,8 +93,8 @@
         outcome: AttemptOutcome | None,
     ) -> None:
         """Record an attempt; None where the request ended during it."""
-        ending = 'ended' if outcome is None else type(outcome).__name__
-        self.attempts.append(f'{destination}:{ending}')
+        attempt_result = 'ended' if outcome is None else type(outcome).__name__
+        self.attempts.append(f'{destination}:{attempt_result}')
 
     def record_answer_start(self, now_s: float) -> None:
         """Record the first time that the caller is sent answer data."""
--- a/godwitshunt/ingress/requests.py
+++ b/godwitshunt/ingress/requests.py
@@ -1,4 +1,4 @@
-"""A request of a route, once its route is known."""
+"""Requests whose route is known."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -12,8 +12,8 @@
 from godwitshunt.quarantine import Fingerprint
 
 MILLISECONDS = 1000
-# Upstreams' queues take urgencies from 0 to 9; levels start here, so that
-# there is room above them for what must not wait.
+# Upstreams' queues have urgencies from 0 to 9. Levels of routes start here,
+# which leaves urgencies below it for requests that must not wait.
 URGENCY_OF_FIRST_LEVEL = 3
 LEAST_URGENT = 9
 
@@ -27,28 +27,27 @@
     id : str
         The caller's id of the attempt.
     headers : tuple of (bytes, bytes)
-        What goes on to an upstream.
+        Headers that are passed on to an upstream.
     route : Route
-        As it holds for the request's organisation.
+        Route with the settings of the request's organisation.
     arrived_s : float
-        When it was read, in monotonic seconds.
+        When the request was read, in monotonic seconds.
     deadline_at_s : float
-        When it is given up.
+        When the request times out, in monotonic seconds.
     resume_after : int or None
-        Id of the last event that the caller has.
+        Id of the last event that the caller has received.
     repeat : bool
-        True where an upstream has had it before it was handed over.
+        True where an upstream received it before it was forwarded.
     is_forwarded : bool
-        True where another VM handed it over.
-    low_urgency_regions : frozenset of str
-        Regions that more urgent routes of the service have no home in.
+        True where another VM forwarded it.
+    quiet_regions : frozenset of str
+        Regions that are no home of the service's more urgent routes.
     level : int
-        How urgent it is; 0 goes first.
+        Urgency level; 0 is the most urgent.
     organisation : Organisation or None
-        Whose it is; None for nobody's.
+        The organisation that sent it; None for none.
     key_sha256 : str
-        Digest of the key that it came with; empty where it was handed over,
-        or has none.
+        Digest of its key; empty where it was forwarded or has none.
     """
 
     id: str
@@ -69,16 +68,16 @@
 
     @property
     def organisation_name(self) -> str:
-        """Whose it is; empty for nobody's."""
+        """Name of its organisation; empty for none."""
         return '' if self.organisation is None else self.organisation.name
 
     @property
     def cost(self) -> float:
-        """What it counts for in its organisation's limit."""
+        """Its cost in its organisation's limit."""
         if self.organisation is None or self.organisation.limit is None:
             return 0.0
-        told = self.prompt.stated_prompt_tokens + self.prompt.output_tokens
-        return self.organisation.limit.cost(told)
+        tokens = self.prompt.stated_prompt_tokens + self.prompt.output_tokens
+        return self.organisation.limit.cost(tokens)
 
     @property
     def urgency(self) -> int:
@@ -87,10 +86,10 @@
 
     @cached_property
     def fingerprint(self) -> Fingerprint:
-        """What a repeat of this request has in common with it.
+        """Fingerprint that all repeats of this request share.
 
-        It takes time for a long body, so it is asked for only where an
-        upstream was lost.
+        A long body takes time to hash, so this is read only where an upstream
+        was lost.
         """
         http = self.http
         return Fingerprint.from_parts(
@@ -102,15 +101,15 @@
         )
 
     def remaining_s(self, now_s: float) -> float:
-        """Return the seconds until it is given up."""
+        """Return the seconds until it times out."""
         return self.deadline_at_s - now_s
 
 
-def deadline_s(request: HttpRequest, names: HeaderNames) -> float:
-    """Return for how many seconds the caller waits; infinite where not told."""
-    told = request.header(names.deadline_ms)
+def caller_timeout_s(request: HttpRequest, names: HeaderNames) -> float:
+    """Return the caller's timeout in seconds; infinite where not stated."""
+    header = request.header(names.deadline_ms)
     try:
-        milliseconds = float(told or 'inf')
+        milliseconds = float(header or 'inf')
     except ValueError:
         return float('inf')
     if not isfinite(milliseconds):
@@ -118,16 +117,16 @@
     return max(0.0, milliseconds / MILLISECONDS)
 
 
-def resume_after(request: HttpRequest, names: HeaderNames) -> int | None:
-    """Return the id of the last event that the caller has."""
-    told = request.header(names.resume_after)
-    if told is None or not told.strip().isdecimal():
+def read_last_event_id(request: HttpRequest, names: HeaderNames) -> int | None:
+    """Return the id of the last event that the caller has received."""
+    header = request.header(names.resume_after)
+    if header is None or not header.strip().isdecimal():
         return None
-    return int(told)
+    return int(header)
 
 
 def read_prompt(request: HttpRequest, names: HeaderNames) -> Prompt:
-    """Return what a request tells of its prompt."""
+    """Return the prompt that a request's headers describe."""
     return Prompt.from_headers(
         request.header(names.prompt_parts),
         request.header(names.token_count),
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -1,4 +1,4 @@
-"""Sending a request where it was chosen to go."""
+"""Sending of requests to chosen destinations."""
 
 import itertools
 from collections.abc import Callable
@@ -33,30 +33,31 @@
 from godwitshunt.settings import Address
 from godwitshunt.timer import Timer
 
-# Upstreams of the region are a millisecond away; one that takes no connection
-# within this is dark, and another one can still answer in time.
+# The region's upstreams are a millisecond away. One that accepts no connection
+# within this is unreachable, and another one can still answer in time.
 CONNECT_TIMEOUT_S = 0.3
-# A connection that was idle for longer is not used for what runs once: its
-# other end may have closed it, or be dark, and then nobody knows what ran.
+# Connections that were idle for longer are not used for non-repeatable
+# requests. The other end may have closed them or be unreachable, and then it
+# is unknown whether the request ran.
 NON_REPEATABLE_IDLE_S = 0.5
 REPEATABLE_IDLE_S = 4.0
-# A repeatable request is tried elsewhere once it has waited for this, or for
-# several times its prediction. An engine that is merely busy must not be given
-# up: the prompt would be read once more elsewhere.
+# A repeatable request is retried elsewhere after this, or after
+# `TIMEOUT_RATIO` times its prediction if that is longer. A busy engine must
+# not be given up: another one would process the prompt again.
 ENGINE_TIMEOUT_S = 2.0
-# In parts of the objective: at a plain service another one can still answer in
+# Share of the objective after which another plain service can still answer in
 # time.
 PLAIN_TIMEOUT_SHARE = 0.6
 TIMEOUT_RATIO = 4.0
-# Silence within a resumable stream after which it goes on elsewhere. Streams
-# of less urgent requests pause for long where an engine is full; their callers
-# give up after four times the objective.
+# Pause within a resumable stream after which it is resumed elsewhere. Streams
+# of less urgent requests pause for long at a full engine, and callers give up
+# after four times the objective.
 STREAM_GAP_TIMEOUT_S = 2.2
 FORWARD_GAP_EXTRA_S = 0.6
-# VMs tell each half second that they work on what was handed to them.
+# Period of the keepalives that VMs send while they serve a forwarded request.
 KEEPALIVE_PERIOD_S = 0.5
 FORWARD_TIMEOUT_S = 1.7
-# Time that an answer needs on its way back.
+# Time for the answer to reach the caller.
 RETURN_MARGIN_S = 0.02
 
 attempt_numbers = itertools.count(1)
@@ -64,7 +65,7 @@
 
 @dataclass
 class AnswerActivity:
-    """What an upstream has shown of one request's answer."""
+    """Activity of the answer to one attempt at an upstream."""
 
     health: UpstreamHealth
     number: int
@@ -74,7 +75,7 @@
     first_at_s: float | None = None
 
     def record(self) -> None:
-        """Note that bytes of the answer came."""
+        """Record that bytes of the answer were received."""
         now_s = self.timer.now()
         self.health.record_first_bytes(self.number, self.tokens, now_s)
         if self.first_at_s is None:
@@ -84,17 +85,17 @@
 
 @dataclass
 class Sender:
-    """Makes the attempts of one request, and learns from each.
+    """Makes the attempts of one request and reports their outcomes.
 
     Parameters
     ----------
     excluded : set of str
-        Incarnations, VMs and regions that failed this request.
+        Incarnations, VMs and regions that are not to be chosen again.
     in_flight : bool
-        True while an attempt is.
+        True during an attempt.
     prompt_reader : str or None
-        Incarnation that reads the prompt in the attempt under way; None where
-        another VM chooses it.
+        Incarnation that processes the prompt in the current attempt; None
+        where another VM chooses it.
     """
 
     context: IngressContext
@@ -111,7 +112,7 @@
         self.feedback = AttemptFeedback(self.context, self.request)
 
     async def send(self, choice: SendHere | HandOver) -> AttemptOutcome:
-        """Send the request where it was chosen to go."""
+        """Send the request to the chosen destination."""
         match choice:
             case SendHere():
                 return await self.send_to_upstream(choice)
@@ -121,8 +122,8 @@
     async def send_to_upstream(self, choice: SendHere) -> AttemptOutcome:
         """Send the request to an upstream of this region."""
         context = self.context
-        told = choice.upstream.told
-        health = context.upstreams.of(told.incarnation)
+        announcement = choice.upstream.announcement
+        health = context.upstreams.of(announcement.incarnation)
         tokens = choice.unread_tokens
         activity = AnswerActivity(
             health,
@@ -136,30 +137,30 @@
         health.begin(activity.number, tokens, sent_s)
         context.picker.schedule_report()
         context.upstreams.record_sent(
-            self.request.service.name, told.incarnation
+            self.request.service.name, announcement.incarnation
         )
         attempt = self.make_attempt(
-            told.address,
-            self.build_upstream_request(told),
+            announcement.address,
+            self.build_upstream_request(announcement),
             self.timeouts(choice.predicted_s),
             activity.record,
         )
-        self.prompt_reader = told.incarnation
+        self.prompt_reader = announcement.incarnation
         outcome: AttemptOutcome | None = None
         try:
             outcome = await self.make(attempt)
         finally:
             health.end(activity.number, tokens)
-            self.learn(choice, attempt, outcome, activity, sent_s)
+            self.report(choice, attempt, outcome, activity, sent_s)
         return outcome
 
     def count_first_try(self, now_s: float) -> None:
-        """Count a request that no upstream has had, for the retry budget."""
+        """Count a request that no upstream has received in the retry window."""
         if not self.progress.arrivals:
             service = self.request.service.name
             self.context.budgets.retry_window(service).record_first_try(now_s)
 
-    def learn(
+    def report(
         self,
         choice: SendHere,
         attempt: Attempt,
@@ -167,7 +168,7 @@
         activity: AnswerActivity,
         sent_s: float,
     ) -> None:
-        """Learn of the upstream; do not choose it again where it failed."""
+        """Report an attempt; exclude the upstream where it failed."""
         self.context.picker.schedule_report()
         first_s = None
         if activity.first_at_s is not None:
@@ -180,7 +181,7 @@
         self.feedback.report_upstream(completed)
 
     async def forward(self, choice: HandOver) -> AttemptOutcome:
-        """Hand the request to an entry VM of another region."""
+        """Forward the request to an entry VM of another region."""
         self.prompt_reader = None
         attempt = self.make_attempt(
             choice.entry.hop,
@@ -200,7 +201,7 @@
         return outcome
 
     async def make(self, attempt: Attempt) -> AttemptOutcome:
-        """Make an attempt; while it is under way, its outcome is unknown."""
+        """Make an attempt, with `in_flight` set until its outcome is known."""
         pool = self.context.hops if attempt.is_forward else self.context.pool
         self.in_flight = True
         outcome = await attempt.run(pool, self.writer)
@@ -216,7 +217,7 @@
         *,
         is_forward: bool = False,
     ) -> Attempt:
-        """Return an attempt; a stream that began goes on where it stands."""
+        """Create an attempt; a stream that has begun is resumed."""
         if self.progress.begun:
             self.events.resume()
         return Attempt(
@@ -233,20 +234,20 @@
         )
 
     def record_stage(self, stage: Stage) -> None:
-        """Note how far the request has come."""
+        """Record that the request has reached a stage."""
         self.trace.record_stage(stage, self.context.timer.now())
 
     def record_activity(self, on_activity: Callable[[], None]) -> None:
-        """Note that something came, of a stream that the caller gets, too."""
+        """Record activity and, in a stream that has begun, its gaps."""
         on_activity()
         if self.progress.begun:
             self.trace.record_bytes(self.context.timer.now())
 
     def record_begun(self) -> None:
-        """Note that the head of a stream goes to the caller.
+        """Record that the head of a stream is sent to the caller.
 
-        With its first event an engine has read the whole prompt, and keeps
-        the shared parts for the next request that has them.
+        At its first event an engine has processed the whole prompt and caches
+        the shared parts for other requests.
         """
         self.progress.begun = True
         self.trace.record_answer_start(self.context.timer.now())
@@ -257,7 +258,7 @@
             )
 
     def resume_after(self) -> int | None:
-        """Return the id of the last event that the caller has."""
+        """Return the id of the last event that the caller has received."""
         if self.progress.begun:
             return self.events.last_id
         return self.request.resume_after
@@ -269,7 +270,7 @@
         )
 
     def timeouts(self, predicted_s: float) -> ResponseTimeouts:
-        """Return how long an attempt at an upstream is waited for."""
+        """Return the timeouts of an attempt at an upstream."""
         route = self.request.route
         runs = self.progress.runs + int(self.request.repeat)
         if not route.repeatable or runs + 1 >= route.attempts:
@@ -281,10 +282,10 @@
         return ResponseTimeouts(first_s, STREAM_GAP_TIMEOUT_S)
 
     def forward_timeouts(self) -> ResponseTimeouts:
-        """Return how long another VM is waited for.
+        """Return the timeouts of a forwarded attempt.
 
-        A call that may not be repeated waits on: given up, its answer would
-        be lost with no other try allowed.
+        A request that is not repeatable has none: after a timeout its answer
+        would be lost, and it could not be sent again.
         """
         if not self.request.route.repeatable:
             return ResponseTimeouts()
@@ -293,18 +294,18 @@
         )
 
     def build_upstream_request(
-        self, told: UpstreamAnnounced
+        self, announcement: UpstreamAnnounced
     ) -> OutgoingRequest:
-        """Return the request as an upstream gets it."""
+        """Return the request as it is sent to an upstream."""
         request = self.request
-        once = not request.route.repeatable
+        runs_once = not request.route.repeatable
         return OutgoingRequest(
             method=request.http.method,
             target=request.http.target,
             headers=upstream_headers(
                 request.headers,
                 self.context.names,
-                told.instance,
+                announcement.instance,
                 self.remaining_s(),
                 request.urgency,
                 self.resume_after(),
@@ -312,17 +313,19 @@
             ),
             body=request.http.body,
             request_id=request.id,
-            longest_idle_s=NON_REPEATABLE_IDLE_S if once else REPEATABLE_IDLE_S,
+            longest_idle_s=NON_REPEATABLE_IDLE_S
+            if runs_once
+            else REPEATABLE_IDLE_S,
             connect_timeout_s=CONNECT_TIMEOUT_S,
             host=host_header(request.http),
             id_header=self.context.names.request_id,
             until_close=True,
             skips_others=True,
-            origin=told.incarnation,
+            origin=announcement.incarnation,
         )
 
     def build_forward_request(self, choice: HandOver) -> OutgoingRequest:
-        """Return the request as another entry VM gets it."""
+        """Return the request as it is sent to another entry VM."""
         return build_forward_request(
             self.request,
             choice.entry,
@@ -334,4 +337,4 @@
 
 
 def ignore_activity() -> None:
-    """Take no note of another VM's signs of life."""
+    """Ignore keepalives of another VM."""
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -1,4 +1,4 @@
-"""Everything that an entry VM does for callers of routes."""
+"""The ingress of an entry VM: requests of callers and of other entry VMs."""
 
 import asyncio
 from contextlib import suppress
@@ -35,30 +35,30 @@
 from godwitshunt.timer import Subscription, Timer
 
 TICK_S = 0.5
-# Callers wait for so long before they ask a VM that knows no configuration.
+# Time after which callers retry at a VM that has no configuration.
 RETRY_AFTER_S = 0.3
-# A request that comes before the first configuration waits for it this long:
-# a VM that has just started has it soon, and a caller that was refused comes
-# back later than that. Control VMs of other regions have answered by then, and
-# the users' shortest objective is not over.
+# A request that is received before the first configuration waits for it this
+# long. A VM that has just started receives it soon, and a refused caller would
+# come back later. Control VMs of other regions have answered within this time,
+# which is shorter than the users' shortest objective.
 FIRST_REVISION_WAIT_S = 0.35
-# What another VM, or this one in a moment, may serve.
+# Refusals that another VM, or this one shortly after, may not repeat.
 RETRYABLE_KINDS = frozenset((ProblemKind.not_ready, ProblemKind.unproven))
-# Idle connections of callers are kept for a little longer than callers are
-# told, so that none is closed under a request on its way.
+# Callers' idle connections are kept open slightly longer than announced, so
+# that none is closed while a request is on its way.
 IDLE_EXTRA_S = 2.0
-# Requests handed over are bounded by the VMs that send them.
+# Connections of other entry VMs, which limit their number themselves.
 HOP_IDLE_S = 30.0
 DRAIN_CHECK_S = 0.05
 
 
 class IngressTask:
-    """Takes requests of routes from callers and from other entry VMs.
+    """Serves requests of callers and of other entry VMs.
 
     Parameters
     ----------
     context : IngressContext
-        What every request is served with.
+        Shared state of the entry VM.
     """
 
     def __init__(self, context: IngressContext) -> None:
@@ -82,12 +82,14 @@
             tls=caller_context(self.settings.tls),
         )
         self.listener = Listener(options, context.metrics, self.serve_caller)
-        hop_options = replace(
+        forward_options = replace(
             options,
             address=self.settings.hop,
             idle_timeout_s=HOP_IDLE_S,
         )
-        self.hops = Listener(hop_options, context.metrics, self.serve_hop)
+        self.hops = Listener(
+            forward_options, context.metrics, self.serve_forwarded
+        )
 
     @classmethod
     def from_config(
@@ -100,7 +102,7 @@
         timer: Timer,
         metrics: Metrics,
     ) -> Self:
-        """Make the ingress of an entry VM."""
+        """Create the ingress of an entry VM."""
         context = make_context(
             settings,
             cluster_key,
@@ -110,19 +112,20 @@
             timer,
             metrics,
         )
-        made = cls(context)
-        context.active_revision = made.current
-        return made
+        task = cls(context)
+        context.active_revision = task.current
+        return task
 
     def current(self) -> ActiveRevision | None:
-        """Return the revision in force; None before the first."""
+        """Return the active revision; None before the first."""
         return self.active_revision
 
     @property
     def accepting(self) -> bool:
-        """True while callers may be sent here.
+        """True while callers may be sent to this VM.
 
-        A VM that cannot prove which keys still hold refuses their requests.
+        A VM without a recent proof of its keys refuses requests of routes with
+        keys.
         """
         if self.active_revision is None or self.draining:
             return False
@@ -130,7 +133,7 @@
         return not has_keys or self.context.authorizer.is_proven
 
     def route_homes(self, host: str) -> tuple[frozenset[str], ...]:
-        """Return the homes of each route of a host that has any."""
+        """Return the homes of a host's routes that have any."""
         if self.active_revision is None:
             return ()
         routes = self.active_revision.revision.manifest.routes
@@ -147,7 +150,7 @@
         self.subscription = self.context.timer.every(TICK_S, self.tick)
 
     def tick(self) -> None:
-        """Follow which VMs and upstreams there are."""
+        """Update the known VMs and upstreams."""
         view = self.context.watch.view()
         now_s = self.context.timer.now()
         self.context.neighbours.record_entries(view.entries, now_s)
@@ -158,13 +161,13 @@
         self.context.metrics.gauge('ingress_in_progress', self.in_progress)
 
     def apply_revision(self, revision: Revision) -> None:
-        """Serve by a newer revision from now on."""
+        """Make a newer revision the active one."""
         self.active_revision = ActiveRevision.from_revision(revision)
         self.configured.set()
         now_s = self.context.timer.now()
         self.context.picker.reports.configure(revision.manifest, now_s)
         limits = revision.manifest.input_limits
-        own = self.settings.limits.model_copy(
+        own_limits = self.settings.limits.model_copy(
             update={
                 'header_bytes': limits.header_bytes,
                 'body_bytes': limits.body_bytes,
@@ -173,23 +176,23 @@
         )
         self.listener.options = replace(
             self.listener.options,
-            limits=own,
+            limits=own_limits,
             idle_timeout_s=limits.idle_timeout_s + IDLE_EXTRA_S,
         )
 
     async def close(self, farewell_s: float, limit_s: float) -> None:
-        """Leave so that no request is cut.
+        """Shut down without cutting requests off.
 
-        Callers and other VMs that have not heard yet that this VM leaves are
-        served for a while; then idle connections close, and the rest as soon
-        as their answers are out.
+        Callers and other VMs may not know yet that this VM is leaving, so
+        requests are accepted for a while. Then idle connections are closed,
+        and the others once their answers are written.
 
         Parameters
         ----------
         farewell_s : float
-            Seconds for which requests are taken as before.
+            Seconds for which requests are accepted as before.
         limit_s : float
-            Seconds after which what is in progress is cut.
+            Seconds after which remaining requests are cut off.
         """
         start_s = self.context.timer.now()
         self.draining = True
@@ -221,23 +224,23 @@
         await self.wait_for_revision()
         match await self.admission.admit(http, now_s):
             case Ok(request):
-                await self.live(request, writer)
+                await self.run_request(request, writer)
             case Err(problem):
                 await self.refuse(http, writer, problem)
 
     async def wait_for_revision(self) -> None:
-        """Wait a moment for the first revision, while the VM is young."""
+        """Wait shortly for the first revision while the VM is warming up."""
         if self.active_revision is None and self.context.watch.is_young:
             with suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_REVISION_WAIT_S):
                     await self.configured.wait()
 
-    async def live(
+    async def run_request(
         self,
         request: RoutedRequest,
         writer: AnswerWriter,
     ) -> None:
-        """Live a request's life; count it while it lasts."""
+        """Run a request and count it as in progress meanwhile."""
         self.in_progress += 1
         try:
             await RequestLifecycle(self.context, request, writer).run()
@@ -276,35 +279,37 @@
         await writer.whole(answer)
 
     def revision_number(self) -> int:
-        """Return the revision in force, for logs; 0 before the first."""
+        """Return the active revision for logs; 0 before the first."""
         return (
             0
             if self.active_revision is None
             else self.active_revision.revision.revision
         )
 
-    async def serve_hop(self, http: HttpRequest, writer: AnswerWriter) -> None:
-        """Serve a request that another entry VM handed over."""
+    async def serve_forwarded(
+        self, http: HttpRequest, writer: AnswerWriter
+    ) -> None:
+        """Serve a request that another entry VM forwarded."""
         if self.active_revision is None:
-            told = 'no revision is in force here yet'
-            problem = Problem(ProblemKind.not_ready, told, Outcome.not_run)
+            detail = 'no revision is in force here yet'
+            problem = Problem(ProblemKind.not_ready, detail, Outcome.not_run)
             await self.refuse(http, writer, problem)
             return
-        read = read_forwarded_request(
+        forwarded = read_forwarded_request(
             http,
             self.active_revision,
             self.context,
         )
-        if isinstance(read, Err):
-            reason = read.err_value.reason
+        if isinstance(forwarded, Err):
+            reason = forwarded.err_value.reason
             problem = Problem(ProblemKind.forbidden, reason, Outcome.not_run)
             await self.refuse(http, writer, problem)
             return
-        request = read.ok_value
-        activity = self.context.timer.every(
+        request = forwarded.ok_value
+        keepalives = self.context.timer.every(
             KEEPALIVE_PERIOD_S, writer.sign_of_life
         )
         try:
-            await self.live(request, writer)
+            await self.run_request(request, writer)
         finally:
-            activity.cancel()
+            keepalives.cancel()
