--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -144,7 +144,7 @@
         pool = self.pools[region]
         if pool.wait_s(NAME, 1.0, standing, now_s):
             return False
-        pool.take(NAME, 1.0, now_s)
+        pool.charge(NAME, 1.0, now_s)
         return True
 
     def tell(self, now_s: float) -> None:
@@ -201,7 +201,7 @@
         pool = self.pools[vm]
         if pool.wait_s(NAME, 1.0, standing, now_s):
             return False
-        pool.take(NAME, 1.0, now_s)
+        pool.charge(NAME, 1.0, now_s)
         return True
 
     def tell(self, now_s: float) -> None:
--- a/godwitshunt/organisations/limits.py
+++ b/godwitshunt/organisations/limits.py
@@ -192,7 +192,7 @@
     >>> pool.configure({'wards': limit}, now_s=0.0, starts=False)
     >>> pool.wait_s('wards', 8.0, AdmissionShare(), now_s=0.0)
     0.0
-    >>> pool.take('wards', 8.0, now_s=0.0)
+    >>> pool.charge('wards', 8.0, now_s=0.0)
     >>> round(pool.wait_s('wards', 8.0, AdmissionShare(), now_s=0.1), 3)
     0.5
     """
@@ -241,7 +241,7 @@
         bucket.fill(standing.part, now_s)
         return bucket.wait_s(cost, standing, now_s)
 
-    def take(self, name: str, cost: float, now_s: float) -> None:
+    def charge(self, name: str, cost: float, now_s: float) -> None:
         """Count a request that is admitted here."""
         bucket = self.buckets.get(name)
         if bucket is not None:
@@ -249,7 +249,7 @@
             bucket.recent.append((now_s, cost))
             self.admitted[name] = self.admitted.get(name, 0.0) + cost
 
-    def hear(
+    def apply_peer_totals(
         self,
         source: str,
         sums: Sums,
@@ -282,7 +282,7 @@
                 left_to_it = bucket.limit.per_s * share * silent_s
                 bucket.take_heard(max(0.0, units - left_to_it), silent_s)
 
-    def hear_vm(self, session: str, sums: Sums, now_s: float) -> None:
+    def apply_vm_totals(self, session: str, sums: Sums, now_s: float) -> None:
         """Take what an entry VM admitted by itself, without a picker.
 
         It counts as admitted here, so that the other pickers hear of it.
@@ -291,7 +291,7 @@
         self.heard[session] = HeardSums(sums, now_s)
         if known is not None:
             for name, units in gained(known.sums, sums):
-                self.take(name, units, now_s)
+                self.charge(name, units, now_s)
 
     def forget(self, before_s: float) -> None:
         """Drop processes that were heard last before a time."""
--- a/godwitshunt/organisations/tests/test_limits.py
+++ b/godwitshunt/organisations/tests/test_limits.py
@@ -109,7 +109,7 @@
         standing = node.standing(self.now_s)
         if node.pool.wait_s(NAME, cost, standing, self.now_s):
             return False
-        node.pool.take(NAME, cost, self.now_s)
+        node.pool.charge(NAME, cost, self.now_s)
         self.admitted.append((self.now_s, cost))
         return True
 
@@ -301,7 +301,7 @@
     for tick in range(160):
         now_s = 1.0 + tick * STEP_S
         if not pool.wait_s(NAME, 1.0, ALL, now_s):
-            pool.take(NAME, 1.0, now_s)
+            pool.charge(NAME, 1.0, now_s)
             admitted += 1.0
     assert admitted <= 10.0 * WINDOW_S + 10.0
     pool.configure({NAME: LIMIT}, 9.0, starts=False)
@@ -330,7 +330,7 @@
     told = AdmissionShare(share=0.3, peers_seen_s=0.9, allowance=4 * RATE)
     for _ in range(3):
         assert not pool.wait_s(NAME, 30.0, told, 1.0)
-        pool.take(NAME, 30.0, 1.0)
+        pool.charge(NAME, 30.0, 1.0)
     assert pool.wait_s(NAME, 30.0, told, 1.0) > 0
     untold = AdmissionShare(share=0.3, peers_seen_s=0.9)
     assert pool.wait_s(NAME, 30.0, untold, 1.0) > 0
@@ -341,7 +341,7 @@
     pool = LimitPool()
     pool.configure({NAME: LIMIT}, 0.0, starts=False)
     assert not pool.wait_s(NAME, 350.0, ALL, 0.0)
-    pool.take(NAME, 350.0, 0.0)
+    pool.charge(NAME, 350.0, 0.0)
     # 250 are owed, and one for the next one.
     assert pool.wait_s(NAME, 1.0, ALL, 0.0) == pytest.approx(2.51)
 
--- a/godwitshunt/picking/attempt_recorder.py
+++ b/godwitshunt/picking/attempt_recorder.py
@@ -85,7 +85,7 @@
         upstream = self.view().upstreams.get(instance)
         if upstream is None:
             return False
-        return self.in_flight(instance) < upstream.told.slots
+        return self.in_flight(instance) < upstream.announcement.slots
 
     def in_flight(self, instance: str) -> int:
         """Return the requests of all VMs at an upstream."""
@@ -100,7 +100,7 @@
     ) -> None:
         """Count what an attempt showed, for the detection of outliers."""
         present = [
-            one.told.incarnation
+            one.announcement.incarnation
             for one in of_service(self.view(), made.service)
         ]
         exclusions = self.upstreams.record_outcome(
--- a/godwitshunt/picking/chooser.py
+++ b/godwitshunt/picking/chooser.py
@@ -157,7 +157,7 @@
             for region in view.doors
         ]
         for upstream in of_service(view, ask.service.name):
-            health = self.upstreams.of(upstream.told.incarnation)
+            health = self.upstreams.of(upstream.announcement.incarnation)
             ends.extend((health.down_until_s, health.full_until_s))
         opens = [end_s - ask.now_s for end_s in ends if end_s > ask.now_s]
         return max(LEAST_RETRY_S, min(opens, default=NO_UPSTREAM_RETRY_S))
@@ -190,7 +190,7 @@
         for upstream in of_service(view, ask.service.name):
             if upstream.region not in reachable:
                 continue
-            if upstream.told.incarnation in exclusions:
+            if upstream.announcement.incarnation in exclusions:
                 continue
             if self.filter.refusal(upstream, ask, revision) is None:
                 candidate = self.candidate(upstream, ask, view)
@@ -208,7 +208,7 @@
         ejected = self.upstreams.ejected(ask.service.name, ask.now_s)
         told = []
         for upstream in of_service(view, ask.service.name):
-            instance = upstream.told.incarnation
+            instance = upstream.announcement.incarnation
             why = self.filter.refusal(upstream, ask, revision)
             if upstream.region not in reachable:
                 why = 'out of reach'
@@ -263,7 +263,7 @@
         view: RegistryView,
     ) -> Candidate:
         """Return an upstream as it stands now."""
-        told = upstream.told
+        told = upstream.announcement
         health = self.upstreams.of(told.incarnation)
         here = upstream.region == self.region
         away_s = 0.0
--- a/godwitshunt/picking/filters.py
+++ b/godwitshunt/picking/filters.py
@@ -52,7 +52,7 @@
         cold = ask.service.cold_start
         if cold is None:
             return False
-        health = self.upstreams.of(upstream.told.incarnation)
+        health = self.upstreams.of(upstream.announcement.incarnation)
         return ask.now_s - health.connect_failed_s < cold.duration_s
 
     def refusal(
@@ -67,13 +67,13 @@
         one elsewhere, it would draw what is then refused there.
         """
         now_s = ask.now_s
-        if upstream.told.failure_domain in revision.evacuated:
+        if upstream.announcement.failure_domain in revision.evacuated:
             return 'evacuated'
-        if upstream.told.draining or ends_soon(upstream, now_s):
+        if upstream.announcement.draining or ends_soon(upstream, now_s):
             return 'leaves'
         if upstream.region != self.region:
             return 'cold' if upstream.cold_until_s > now_s else None
-        health = self.upstreams.of(upstream.told.incarnation)
+        health = self.upstreams.of(upstream.announcement.incarnation)
         if now_s < health.down_until_s:
             return 'unreached'
         if now_s < health.full_until_s:
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -232,7 +232,7 @@
     def spend_limit(self, question: DestinationRequest, now_s: float) -> None:
         """Count a request that is given a place, here or elsewhere."""
         if question.organisation and not question.local:
-            self.limits.take(question.organisation, question.cost, now_s)
+            self.limits.charge(question.organisation, question.cost, now_s)
 
     def ask(
         self,
@@ -268,7 +268,7 @@
         """Tell whether a cold upstream may get one more request."""
         cold = ask.service.cold_start
         return cold is None or self.cold.has_room(
-            upstream.told.incarnation,
+            upstream.announcement.incarnation,
             cold.requests_per_s,
             self.cold_share,
             ask.now_s,
@@ -279,7 +279,7 @@
         cold = ask.service.cold_start
         if choice.is_cold and cold is not None:
             self.cold.spend(
-                choice.upstream.told.incarnation,
+                choice.upstream.announcement.incarnation,
                 cold.requests_per_s,
                 self.cold_share,
                 ask.now_s,
@@ -295,7 +295,7 @@
         """Count what was given."""
         match choice:
             case SendHere(upstream=upstream, unread_tokens=tokens):
-                instance = upstream.told.incarnation
+                instance = upstream.announcement.incarnation
                 self.note_prompt(question.demand, instance, now_s)
                 number = self.ledger.reserve(
                     question.entry,
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -282,7 +282,7 @@
         case Unable(reason):
             return f'unable: {reason}'
         case Given(choice=SendHere(upstream=upstream)):
-            return upstream.told.incarnation
+            return upstream.announcement.incarnation
         case Given(choice=HandOver(entry=entry)):
             return f'{entry.region}/{entry.name}'
         case Given(choice=NoPlace(overloaded=True)):
--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -43,7 +43,7 @@
     upstream += [make_upstream(f't-{number}', 'tvm') for number in range(2)]
     door = EntryRecord('t-e', 's', 'tvm', 't', ADDRESS, ADDRESS, True)
     return RegistryView(
-        upstreams={one.told.incarnation: one for one in upstream},
+        upstreams={one.announcement.incarnation: one for one in upstream},
         entries={door.name: door},
         loads=loads or {},
         entry_points={'tvm': (door,)},
@@ -75,7 +75,7 @@
     asked = ask(LONG, holders=frozenset((holder,)))
     chosen = choose(asked, view())
     assert isinstance(chosen, SendHere)
-    assert chosen.upstream.told.incarnation == holder
+    assert chosen.upstream.announcement.incarnation == holder
     assert chosen.is_cached
 
 
--- a/godwitshunt/picking/tests/test_exact_counts.py
+++ b/godwitshunt/picking/tests/test_exact_counts.py
@@ -34,7 +34,7 @@
 
 def place(choice: SendHere) -> str:
     """Return where a request goes."""
-    return choice.upstream.told.incarnation
+    return choice.upstream.announcement.incarnation
 
 
 @pytest.mark.parametrize('vms', [3, 30])
--- a/godwitshunt/picking/tests/test_failing_upstreams.py
+++ b/godwitshunt/picking/tests/test_failing_upstreams.py
@@ -46,7 +46,7 @@
     door = EntryRecord('t-e', 's', 'tvm', 't', ADDRESS, ADDRESS, True)
     upstream = (make_upstream(HERE, 'kochi'), make_upstream(THERE, 'tvm'))
     return RegistryView(
-        upstreams={one.told.incarnation: one for one in upstream},
+        upstreams={one.announcement.incarnation: one for one in upstream},
         entry_points={'tvm': (door,)},
     )
 
@@ -70,7 +70,7 @@
     """
     chosen = choose(make_chooser(), excluded=frozenset(('tvm',)))
     assert isinstance(chosen, SendHere)
-    assert chosen.upstream.told.incarnation == HERE
+    assert chosen.upstream.announcement.incarnation == HERE
 
 
 def test_a_request_handed_over_goes_back_rather_than_to_a_failing_one():
--- a/godwitshunt/picking/tests/test_lost_picker.py
+++ b/godwitshunt/picking/tests/test_lost_picker.py
@@ -59,7 +59,7 @@
     for entry in entries:
         for _ in range(SLOTS):
             choice = await entry.ask()
-            instance = choice.upstream.told.incarnation
+            instance = choice.upstream.announcement.incarnation
             entry.begin(instance, SHORT.prompt_tokens)
     await region.exchange()
     region.network.frozen.add(address(1))
@@ -81,7 +81,7 @@
     """It hears what runs with the entry VMs' first reports only."""
     region, (entry, _) = await started({1: 'a', 3: 'b'})
     choice = await entry.ask()
-    entry.begin(choice.upstream.told.incarnation, SHORT.prompt_tokens)
+    entry.begin(choice.upstream.announcement.incarnation, SHORT.prompt_tokens)
     region.restart(1)
     await region.poll(entry.watch, 1)
     assert region.picker_of(entry) is None
@@ -89,7 +89,9 @@
     await region.poll(entry.watch, 1)
     assert region.picker_of(entry) == address(1)
     view = region.pickers[1].registry.view()
-    assert view.loads.get(choice.upstream.told.incarnation).in_flight == 1
+    assert (
+        view.loads.get(choice.upstream.announcement.incarnation).in_flight == 1
+    )
 
 
 async def test_a_vm_goes_back_to_the_first_picker_when_it_answers_again():
@@ -136,7 +138,7 @@
         picker.tick()
     given = [await one.ask() for _ in range(10) for one in entries]
     sent_to = Counter(
-        choice.upstream.told.incarnation
+        choice.upstream.announcement.incarnation
         for choice in given
         if isinstance(choice, SendHere)
     )
--- a/godwitshunt/picking/upstreams.py
+++ b/godwitshunt/picking/upstreams.py
@@ -110,5 +110,5 @@
 def of_service(view: RegistryView, service: str) -> Iterator[UpstreamSeen]:
     """Give the incarnations that serve a service."""
     for upstream in view.upstreams.values():
-        if upstream.told.service == service:
+        if upstream.announcement.service == service:
             yield upstream
--- a/godwitshunt/picking/wire.py
+++ b/godwitshunt/picking/wire.py
@@ -189,7 +189,7 @@
         None if upstream.ends_at_s is None else upstream.ends_at_s - now_s
     )
     return announcement_to_wire(
-        upstream.told,
+        upstream.announcement,
         cold_s=upstream.cold_until_s - now_s,
         ends_in_s=ends_in_s,
         silent=upstream.silent,
--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -53,7 +53,7 @@
 
     Parameters
     ----------
-    place : ControlLocation
+    location : ControlLocation
         Where this control VM stands, and which others there are.
     prefixes : PrefixTable
         Takes what others were told of kept prompts by entry VMs.
@@ -67,18 +67,18 @@
 
     def __init__(
         self,
-        place: ControlLocation,
+        location: ControlLocation,
         prefixes: PrefixTable,
         quarantine: Quarantine,
         links: PeerLinks,
         timer: Timer,
     ) -> None:
-        self.place = place
+        self.location = location
         self.prefixes = prefixes
         self.quarantine = quarantine
         self.links = links
         self.timer = timer
-        self.joined = JoinedTables(place.regions)
+        self.joined = JoinedTables(location.regions)
         self.contacts: dict[str, ControlContact] = {}
         self.summed: Mapping[str, Load] = {}
         self.summed_of: tuple[tuple[str, float], ...] = ()
@@ -99,12 +99,12 @@
     @property
     def own_name(self) -> str:
         """Name of this control VM among the tables."""
-        return str(self.place.address)
+        return str(self.location.address)
 
     def ask_all(self) -> None:
         """Ask every other control VM that is not being asked."""
-        for address in self.place.others():
-            if address != self.place.address:
+        for address in self.location.others():
+            if address != self.location.address:
                 self.background.run(str(address), partial(self.ask, address))
 
     async def ask(self, address: Address) -> None:
@@ -267,7 +267,7 @@
 
     def kept_s(self, control: str) -> float:
         """Return for how long the requests that one told count."""
-        is_here = self.region_of(control) == self.place.region
+        is_here = self.region_of(control) == self.location.region
         return LOCAL_LOADS_TTL_S if is_here else LOADS_KEPT_S
 
     def region_loads_asof_s(self, region: str) -> float:
--- a/godwitshunt/registry/keeper.py
+++ b/godwitshunt/registry/keeper.py
@@ -74,7 +74,7 @@
                 suspects=len(self.suspects.records),
             )
 
-    async def settle(self) -> bool:
+    async def flush(self) -> bool:
         """Wait until what is known now is on disk; False where it failed."""
         if self.kept is None:
             return True
--- a/godwitshunt/registry/relay.py
+++ b/godwitshunt/registry/relay.py
@@ -61,7 +61,7 @@
 
 def own_news(
     source: str,
-    place: ControlLocation,
+    location: ControlLocation,
     upstreams: UpstreamTable,
     entries: EntryTable,
     held: ttypes.TableHeld | None,
@@ -73,7 +73,7 @@
     ----------
     source : str
         The control VM's process.
-    place : ControlLocation
+    location : ControlLocation
         Where it stands.
     held : TableHeld or None
         What whoever asks holds of it; None for nothing.
@@ -81,12 +81,12 @@
     whole = held is None
     known = held or NOTHING
     return ttypes.TableNews(
-        control=endpoint(place.address) if whole else None,
+        control=endpoint(location.address) if whole else None,
         source=source,
         version=upstreams.version,
         whole=whole,
         age_ms=0,
-        region=place.region if whole else None,
+        region=location.region if whole else None,
         upstreams=[
             upstream_to_wire(one, now_s)
             for one in upstreams.changed_since(known.version)
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    place : ControlLocation
+    location : ControlLocation
         Where this control VM stands, and which others there are.
     links : PeerLinks
         Carry the polls.
@@ -78,13 +78,13 @@
 
     def __init__(
         self,
-        place: ControlLocation,
+        location: ControlLocation,
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
         kept: KeptUpstreams | None = None,
     ) -> None:
-        self.place = place
+        self.location = location
         self.shown = (-1, -1)
         self.background = Background()
         self.links = links
@@ -112,7 +112,7 @@
         self.admitted: Mapping[str, float] = {}
         self.report_notices: list[ReportNotice] = []
         self.tables = ControlTables(
-            place,
+            location,
             self.prefixes,
             self.quarantine,
             links,
@@ -123,7 +123,7 @@
     @classmethod
     def from_config(
         cls,
-        place: ControlLocation,
+        location: ControlLocation,
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
@@ -133,7 +133,7 @@
         kept = None
         if settings.keeps_upstreams:
             kept = KeptUpstreams(settings.data_folder)
-        made = cls(place, links, timer, metrics, kept)
+        made = cls(location, links, timer, metrics, kept)
         made.quarantine.length_s = settings.bounds.quarantine_s
         return made
 
@@ -157,13 +157,13 @@
         await self.tables.close()
         await self.background.close()
 
-    async def settle(self) -> bool:
+    async def flush(self) -> bool:
         """Wait until what is known now is on disk; False where it failed.
 
         That an upstream leaves is acknowledged only then: after a loss of
         power it would else get work from those who remember it as ready.
         """
-        return await self.keeper.settle()
+        return await self.keeper.flush()
 
     def announce(self, announcement: UpstreamAnnounced) -> AnnounceOutcome:
         """Take an upstream's announcement."""
@@ -251,12 +251,12 @@
         for name in self.entries.tick(now_s):
             self.ledger.forget(name)
             log_change('registry:entry_absent', entry=name)
-        for place in self.ledger.tick(now_s):
+        for location in self.ledger.tick(now_s):
             self.metrics.count('registry_places_expired_total')
             log_change(
                 'registry:place_expired',
-                number=place.number,
-                instance=place.instance,
+                number=location.number,
+                instance=location.instance,
             )
         self.metrics.gauge('registry_upstreams', len(self.upstreams.entries))
         self.metrics.gauge('registry_entries', len(self.entries.entries))
@@ -324,7 +324,7 @@
         return ttypes.PollReply(
             source=self.source,
             tables=self.news_for(poll, held, now_s),
-            region=self.place.region,
+            region=self.location.region,
             loads=self.loads_for(poll, now_s),
             misses_tables=self.tables.misses_any(now_s),
             prefixes=prefixes_to_wire(
@@ -357,7 +357,7 @@
         """Return what is new in this control VM's own table."""
         return own_news(
             self.source,
-            self.place,
+            self.location,
             self.upstreams,
             self.entries,
             held,
--- a/godwitshunt/registry/tests/deployment.py
+++ b/godwitshunt/registry/tests/deployment.py
@@ -25,7 +25,7 @@
     return Address(host=f'10.0.0.{number}', port=7660)
 
 
-def place(number: int = 1, domain: str = 'a') -> ControlLocation:
+def control_location(number: int = 1, domain: str = 'a') -> ControlLocation:
     """Return where a control VM stands that knows no other."""
     return ControlLocation(address(number), REGIONS[domain], REGIONS, tuple)
 
@@ -136,13 +136,15 @@
     def start_control(self, number: int) -> RegistryService:
         """Return a control VM's registry that has just started."""
         links = CarriedLinks(address(number), f'c-{number}', self.network)
-        place = ControlLocation(
+        control_location = ControlLocation(
             address(number),
             REGIONS[self.domains[number]],
             REGIONS,
             lambda: self.addresses,
         )
-        service = RegistryService(place, links, self.timer, Metrics())
+        service = RegistryService(
+            control_location, links, self.timer, Metrics()
+        )
         links.subscribe(MessageKind.registry_poll, service.on_poll)
         return service
 
--- a/godwitshunt/registry/tests/test_after_the_dark.py
+++ b/godwitshunt/registry/tests/test_after_the_dark.py
@@ -16,7 +16,7 @@
 from godwitshunt.registry.kept_upstreams import FILE_NAME, KeptUpstreams
 from godwitshunt.registry.service import RegistryService
 from godwitshunt.registry.table import Stale, Taken
-from godwitshunt.registry.tests.deployment import place
+from godwitshunt.registry.tests.deployment import control_location
 from godwitshunt.registry.tests.test_table import announced
 from godwitshunt.registry.tests.test_views import REGIONS, news
 from godwitshunt.storage import KeptFile, KeptRecord
@@ -31,14 +31,14 @@
     """Return a control VM's registry that has just started."""
     kept = KeptUpstreams(folder)
     timer = VirtualTimerService()
-    service = RegistryService(place(), None, timer, Metrics(), kept)
+    service = RegistryService(control_location(), None, timer, Metrics(), kept)
     service.keeper.restore()
     return service
 
 
 async def restarted(service: RegistryService) -> RegistryService:
     """Return the registry after a loss of power, once all was written."""
-    assert await service.settle()
+    assert await service.flush()
     return started(service.keeper.kept.folder)
 
 
@@ -126,7 +126,7 @@
     )
     service = started(tmp_path)
     service.announce(announced('i-1'))
-    assert await service.settle()
+    assert await service.flush()
 
     def refuse(self, record):
         raise StorageError('disk', 'full')
@@ -134,9 +134,9 @@
     with monkeypatch.context() as full:
         full.setattr(KeptFile, 'write', refuse)
         service.withdraw('i-1')
-        assert not await service.settle()
-        assert not await service.settle()
-    assert await service.settle()
+        assert not await service.flush()
+        assert not await service.flush()
+    assert await service.flush()
     assert [kind for kind in lines if 'keep' in kind] == [
         'registry:keep_failed',
         'registry:keep_recovered',
@@ -157,7 +157,7 @@
     service = started(tmp_path)
     for name, port in (('i-1', 80), ('i-2', 81)):
         service.announce(announced(name, port=port))
-    assert await service.settle()
+    assert await service.flush()
     begun, going_on = threading.Event(), threading.Event()
     write = KeptFile.write
 
@@ -168,10 +168,10 @@
 
     monkeypatch.setattr(KeptFile, 'write', write_slowly)
     service.withdraw('i-1')
-    first = asyncio.create_task(service.settle())
+    first = asyncio.create_task(service.flush())
     await asyncio.to_thread(begun.wait, 5)
     service.withdraw('i-2')
-    second = asyncio.create_task(service.settle())
+    second = asyncio.create_task(service.flush())
     await asyncio.sleep(0)
     going_on.set()
     assert await first
@@ -183,7 +183,7 @@
     """A request that three upstreams ended under ends three more."""
     before = started(tmp_path)
     before.announce(announced('i-1'))
-    assert await before.settle()
+    assert await before.flush()
     for number in range(3):
         before.timer.advance(1)
         loss = Loss(f'i-{number}', before.timer.now(), 0.1)
--- a/tests/test_platform_heartbeats.py
+++ b/tests/test_platform_heartbeats.py
@@ -14,7 +14,7 @@
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.service import RegistryService
 from godwitshunt.registry.table import Foreign, Stale, Taken
-from godwitshunt.registry.tests.deployment import place
+from godwitshunt.registry.tests.deployment import control_location
 from godwitshunt.telemetry import Metrics
 from godwitshunt.timer import VirtualTimerService
 
@@ -136,7 +136,9 @@
 
 def started() -> RegistryService:
     """Return a control VM's registry that has just started."""
-    return RegistryService(place(), None, VirtualTimerService(), Metrics())
+    return RegistryService(
+        control_location(), None, VirtualTimerService(), Metrics()
+    )
 
 
 @settings(max_examples=300, deadline=None)
@@ -216,11 +218,11 @@
     service = started()
     asked = []
 
-    async def settle():
+    async def flush():
         asked.append(dict(service.upstreams.entries))
         return on_disk
 
-    service.settle = settle
+    service.flush = flush
     calls = ControlCalls(None, service, frozenset())
     body = json.dumps({**SOUND, 'state': state}).encode()
     request = SimpleNamespace(
