--- a/godwitshunt/ingress/lifecycle.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -366,7 +366,7 @@
                 return Limited(wait_s)
         choice = self.choose_locally_unlimited()
         if is_limited and not isinstance(choice, NoPlace):
-            limits.take(name, cost, now_s)
+            limits.charge(name, cost, now_s)
         return choice
 
     def choose_locally_unlimited(self) -> Choice:
