--- a/godwitshunt/ingress/tests/__init__.py
+++ b/godwitshunt/ingress/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the ingress slice."""
+"""Tests of the ingress."""
--- a/godwitshunt/ingress/tests/test_authorization.py
+++ b/godwitshunt/ingress/tests/test_authorization.py
@@ -1,4 +1,4 @@
-"""Keys that are added and taken away while requests come, wait and hop."""
+"""Keys that are added and revoked between admission and sending."""
 
 from dataclasses import dataclass, field, replace
 from random import Random
@@ -27,21 +27,21 @@
 
 
 def active_revision(*organisations: Organisation) -> ActiveRevision:
-    """Return a revision with organisations, in force."""
-    made = Revision(1, 'digest', manifest(*organisations))
-    return ActiveRevision.from_revision(made)
+    """Return an active revision with organisations."""
+    revision = Revision(1, 'digest', manifest(*organisations))
+    return ActiveRevision.from_revision(revision)
 
 
 @dataclass
 class Vm:
-    """What a VM knows; news comes when it asks."""
+    """State of a VM; renewing its proof also updates its revision."""
 
-    known: ActiveRevision
-    news: ActiveRevision | None = None
+    active: ActiveRevision
+    newest: ActiveRevision | None = None
     now_s: float = 100.0
     proof_s: float = 99.5
     is_young: bool = False
-    asked: int = 0
+    renewals: int = 0
     authorizer: Authorizer = field(init=False)
 
     def __post_init__(self) -> None:
@@ -49,21 +49,21 @@
             FreshnessRule(REVOKE_S),
             lambda: self.now_s,
             lambda: self.now_s - self.proof_s,
-            self.ask,
+            self.renew,
         )
         self.admission = Admission(
             HeaderNames(),
-            lambda: self.known,
+            lambda: self.active,
             self.authorizer,
             Random(1),
             lambda: self.is_young,
         )
 
-    async def ask(self) -> None:
-        """Ask control, which answers with what is newest."""
-        self.asked += 1
-        if self.news is not None:
-            self.known = self.news
+    async def renew(self) -> None:
+        """Renew the proof and the revision where control answers."""
+        self.renewals += 1
+        if self.newest is not None:
+            self.active = self.newest
             self.proof_s = self.now_s
 
     async def admit(self, key: bytes = b'k-1'):
@@ -74,53 +74,53 @@
 
 
 @pytest.fixture(autouse=True)
-def _no_wait(monkeypatch):
+def _short_key_lookup(monkeypatch):
     monkeypatch.setattr(
         'godwitshunt.ingress.admission.KEY_LOOKUP_TIMEOUT_S', 0.05
     )
     monkeypatch.setattr('godwitshunt.ingress.admission.KEY_POLL_PERIOD_S', 0.01)
 
 
-async def test_a_known_key_needs_no_question():
-    """In calm no request waits for control."""
+async def test_known_key_is_admitted_without_renewal():
+    """Without changes no request waits for control."""
     vm = Vm(active_revision(WARDS))
-    found = await vm.admit()
-    assert isinstance(found, Ok)
-    assert found.ok_value.organisation == WARDS
-    assert found.ok_value.key_sha256 == key_digest(b'k-1')
-    assert not vm.asked
+    admitted = await vm.admit()
+    assert isinstance(admitted, Ok)
+    assert admitted.ok_value.organisation == WARDS
+    assert admitted.ok_value.key_sha256 == key_digest(b'k-1')
+    assert not vm.renewals
 
 
-async def test_an_unknown_key_is_refused_only_by_news():
-    """A key was added a moment ago, and this VM has not heard of it."""
-    vm = Vm(active_revision(WARDS), news=active_revision(WARDS, OTHERS))
+async def test_unknown_key_is_refused_only_after_renewal():
+    """The key was added recently and this VM has not received it yet."""
+    vm = Vm(active_revision(WARDS), newest=active_revision(WARDS, OTHERS))
     assert isinstance(await vm.admit(b'k-2'), Ok)
-    nobody = await vm.admit(b'k-3')
-    assert nobody.err_value.kind is ProblemKind.unauthorized
-    assert nobody.err_value.outcome is Outcome.not_run
+    unknown = await vm.admit(b'k-3')
+    assert unknown.err_value.kind is ProblemKind.unauthorized
+    assert unknown.err_value.outcome is Outcome.not_run
 
 
-async def test_without_news_an_unknown_key_is_not_called_unknown():
-    """Control does not answer, and the last proof is seconds old."""
+async def test_unknown_key_is_unproven_without_renewal():
+    """Control does not answer and the last proof is seconds old."""
     vm = Vm(active_revision(WARDS), proof_s=97.0)
-    found = await vm.admit(b'k-2')
-    assert found.err_value.kind is ProblemKind.unproven
+    admitted = await vm.admit(b'k-2')
+    assert admitted.err_value.kind is ProblemKind.unproven
 
 
-@pytest.mark.parametrize(('is_young', 'asks'), [(False, False), (True, True)])
-async def test_a_vm_without_proof_refuses_at_once_unless_it_is_young(
+@pytest.mark.parametrize(('is_young', 'renews'), [(False, False), (True, True)])
+async def test_vm_without_proof_refuses_at_once_unless_it_is_young(
     is_young,
-    asks,
+    renews,
 ):
-    """It is cut off; what it cannot serve must not be held."""
+    """The VM is cut off and must not hold requests that it cannot serve."""
     vm = Vm(active_revision(WARDS), proof_s=90.0, is_young=is_young)
-    found = await vm.admit()
-    assert found.err_value.kind is ProblemKind.unproven
-    assert bool(vm.asked) is asks
+    admitted = await vm.admit()
+    assert admitted.err_value.kind is ProblemKind.unproven
+    assert bool(vm.renewals) is renews
 
 
 @pytest.mark.parametrize(
-    ('after', 'proof_s', 'refusal'),
+    ('organisations', 'proof_s', 'refusal'),
     [
         ((WARDS,), 99.5, None),
         ((WARDS,), 94.0, ProblemKind.unproven),
@@ -128,31 +128,33 @@
         ((organisation('others', b'k-1'),), 99.5, ProblemKind.unauthorized),
     ],
 )
-async def test_a_key_is_looked_at_before_each_sending(after, proof_s, refusal):
-    """While a request waits the VM is frozen, or the key is taken away."""
+async def test_key_is_checked_before_each_attempt(
+    organisations, proof_s, refusal
+):
+    """The VM is frozen or the key is revoked while the request waits."""
     vm = Vm(active_revision(WARDS))
     request = (await vm.admit()).ok_value
-    vm.known = active_revision(*after)
+    vm.active = active_revision(*organisations)
     vm.proof_s = proof_s
-    assert vm.authorizer.refusal(request, vm.known) is refusal
+    assert vm.authorizer.refusal(request, vm.active) is refusal
 
 
-async def test_a_request_that_was_handed_over_is_looked_at_by_its_name():
-    """Its key stayed where it came from."""
+async def test_forwarded_request_is_checked_by_its_organisation():
+    """The key itself is not forwarded."""
     vm = Vm(active_revision(WARDS))
     request = (await vm.admit()).ok_value
-    handed = replace(request, key_sha256='', is_forwarded=True)
-    assert vm.authorizer.refusal(handed, active_revision(WARDS)) is None
-    gone = vm.authorizer.refusal(handed, active_revision(OTHERS))
-    assert gone is ProblemKind.unauthorized
+    forwarded = replace(request, key_sha256='', is_forwarded=True)
+    assert vm.authorizer.refusal(forwarded, active_revision(WARDS)) is None
+    refusal = vm.authorizer.refusal(forwarded, active_revision(OTHERS))
+    assert refusal is ProblemKind.unauthorized
 
 
-async def test_homes_without_a_common_region_are_told():
-    """No region may serve it; it is refused at once and did not run."""
+async def test_homes_without_a_common_region_are_refused():
+    """No region may serve the request, so it is refused at once and not run."""
     bound = ROUTE.model_copy(update={'homes': ('kochi',)})
     home = organisation('wards', b'k-1', homes=('tvm',))
-    made = manifest(home).model_copy(update={'routes': (bound,)})
-    vm = Vm(ActiveRevision.from_revision(Revision(1, 'digest', made)))
-    found = await vm.admit()
-    assert isinstance(found, Err)
-    assert found.err_value.kind is ProblemKind.no_upstream
+    document = manifest(home).model_copy(update={'routes': (bound,)})
+    vm = Vm(ActiveRevision.from_revision(Revision(1, 'digest', document)))
+    admitted = await vm.admit()
+    assert isinstance(admitted, Err)
+    assert admitted.err_value.kind is ProblemKind.no_upstream
--- a/godwitshunt/ingress/tests/test_crash_detector.py
+++ b/godwitshunt/ingress/tests/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""Which lost connections show that an upstream ended."""
+"""Which lost connections are taken as crashes of upstreams."""
 
 import asyncio
 from types import SimpleNamespace
@@ -13,11 +13,11 @@
 from godwitshunt.timer import TimerService
 
 HOST = '127.0.0.1'
-LETHAL = Fingerprint(bytes(16))
+CRASHING = Fingerprint(bytes(16))
 
 
-def request(fingerprint=LETHAL):
-    """Return a request as the witness sees it."""
+def request(fingerprint=CRASHING):
+    """Return a request with the attributes that the detector reads."""
     return SimpleNamespace(
         fingerprint=fingerprint,
         organisation_name='',
@@ -25,93 +25,91 @@
     )
 
 
-class World:
-    """A witness, and one place that is up until it ends."""
+class Upstream:
+    """A crash detector and the one upstream that it checks."""
 
     def __init__(self):
         timer = TimerService()
         self.quarantine = Quarantine(100.0, timer.now, Metrics())
-        self.crash_detector = CrashDetector(self.quarantine, timer)
+        self.detector = CrashDetector(self.quarantine, timer)
         self.connects = 0
         self.server = None
         self.port = 0
 
     async def start(self):
-        """Listen."""
+        """Listen for connections."""
         self.server = await asyncio.start_server(self.accept, HOST, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    async def accept(self, prompt_reader, writer):
+    async def accept(self, reader, writer):
         """Count a connection and close it."""
         self.connects += 1
         writer.close()
 
-    async def end(self):
+    async def stop(self):
         """Stop listening."""
         self.server.close()
         await self.server.wait_closed()
 
     async def lose(self, incarnation='i-1', **fields):
-        """Lose a request at the place, and let it be looked at."""
+        """Lose a request to the upstream and wait for its check."""
         address = Address(host=HOST, port=self.port)
-        self.crash_detector.record_loss(
-            request(**fields), incarnation, address, 0.1
-        )
-        await self.crash_detector.wait_checked(incarnation)
+        self.detector.record_loss(request(**fields), incarnation, address, 0.1)
+        await self.detector.wait_checked(incarnation)
 
     @property
     def losses(self):
-        """How many losses are held against requests."""
+        """Number of losses recorded for all requests."""
         records = self.quarantine.table.records.values()
-        return sum(len(one.losses) for one in records)
+        return sum(len(record.losses) for record in records)
 
 
 @pytest.fixture
-async def world():
-    """Return a place that listens."""
-    made = World()
-    await made.start()
-    yield made
-    await made.crash_detector.close()
-    made.server.close()
+async def upstream():
+    """Yield an upstream that listens."""
+    listening = Upstream()
+    await listening.start()
+    yield listening
+    await listening.detector.close()
+    listening.server.close()
 
 
-async def test_upstream_that_lives_on_speaks_against_no_request(world):
-    """A reset connection, or an answer cut short, that counts as an end."""
-    await world.lose()
-    assert (world.losses, world.connects) == (0, 1)
+async def test_listening_upstream_counts_as_no_crash(upstream):
+    """Connections are also reset, and answers cut short, without a crash."""
+    await upstream.lose()
+    assert (upstream.losses, upstream.connects) == (0, 1)
 
 
-async def test_upstream_that_refuses_connections_has_ended(world):
-    """An engine that ended, with several requests."""
-    await world.end()
+async def test_upstream_that_refuses_connections_has_crashed(upstream):
+    """Each of the requests of a crashed engine is recorded as lost."""
+    await upstream.stop()
     await asyncio.gather(
-        world.lose(),
-        world.lose(fingerprint=Fingerprint(bytes(range(16)))),
+        upstream.lose(),
+        upstream.lose(fingerprint=Fingerprint(bytes(range(16)))),
     )
-    assert world.losses == 2
+    assert upstream.losses == 2
 
 
-async def test_place_is_looked_at_once_for_all_that_it_had(world):
-    """A connection for each of the requests that an engine took along."""
-    await asyncio.gather(*(world.lose() for _ in range(20)))
-    await world.lose()
-    assert world.connects == 1
+async def test_upstream_is_checked_once_for_all_its_requests(upstream):
+    """A crashed engine must not cause a connection for each lost request."""
+    await asyncio.gather(*(upstream.lose() for _ in range(20)))
+    await upstream.lose()
+    assert upstream.connects == 1
 
 
-async def test_silent_place_speaks_against_no_request(world, monkeypatch):
-    """A zone that went dark, or a link that was lost."""
+async def test_unreachable_upstream_counts_as_no_crash(upstream, monkeypatch):
+    """A zone without power or a failed link is no crash."""
 
     async def wait(*args, **fields):
         await asyncio.sleep(10)
 
     monkeypatch.setattr(asyncio, 'open_connection', wait)
-    await world.lose()
-    assert not world.losses
+    await upstream.lose()
+    assert not upstream.losses
 
 
 @pytest.mark.parametrize(
-    ('fault', 'is_closed'),
+    ('error', 'is_closed'),
     [
         (None, True),
         (ConnectionResetError(), True),
@@ -119,10 +117,10 @@
         (OSError(113, 'no route'), False),
     ],
 )
-def test_connection_given_up_by_the_kernel_was_not_closed(fault, is_closed):
-    """Requests at a dark machine, held to be lost by an end of it."""
+def test_connection_timed_out_by_the_kernel_was_not_closed(error, is_closed):
+    """Requests at an unreachable machine must not count as lost to a crash."""
     channel = Channel()
-    if fault is None:
+    if error is None:
         channel.eof_received()
-    channel.connection_lost(fault)
+    channel.connection_lost(error)
     assert channel.ended_by_other_side is is_closed
--- a/godwitshunt/ingress/tests/test_feedback.py
+++ b/godwitshunt/ingress/tests/test_feedback.py
@@ -1,4 +1,4 @@
-"""What attempts show of upstreams: full ones, and how fast they are."""
+"""What attempts report about upstreams: refusals and speed."""
 
 from types import SimpleNamespace
 
@@ -16,19 +16,19 @@
 SLOTS = 48
 
 
-def attempt_recorder(in_flight: int) -> AttemptRecorder:
-    """Return a learner that knows one upstream with a load."""
+def recorder_at_load(in_flight: int) -> AttemptRecorder:
+    """Return a recorder that knows one upstream with a load."""
     announcement = SimpleNamespace(
         incarnation='i-1', slots=SLOTS, service='llm'
     )
-    others = Load(in_flight - in_flight // 2, 0)
+    reported_load = Load(in_flight - in_flight // 2, 0)
     view = RegistryView(
         upstreams={'i-1': SimpleNamespace(announcement=announcement)},
-        loads={'i-1': others},
+        loads={'i-1': reported_load},
     )
-    known = Upstreams()
-    known.health['i-1'] = UpstreamHealth(in_flight=in_flight // 2)
-    return AttemptRecorder(known, lambda: view, lambda incarnation: None)
+    upstreams = Upstreams()
+    upstreams.health['i-1'] = UpstreamHealth(in_flight=in_flight // 2)
+    return AttemptRecorder(upstreams, lambda: view, lambda incarnation: None)
 
 
 def counts_against(outcome, in_flight: int) -> bool:
@@ -37,11 +37,11 @@
         misdirected=False,
         connected='connect' not in getattr(outcome, 'reason', ''),
     )
-    made = CompletedAttempt(None, attempt, outcome, None, 0.1)
-    shown = AttemptShown('i-1', 'llm', made.shown)
-    learned = attempt_recorder(in_flight)
-    learned.record(shown, SERVICE, now_s=1.0)
-    detector = learned.upstreams.outliers.get('llm')
+    completed = CompletedAttempt(None, attempt, outcome, None, 0.1)
+    report = AttemptShown('i-1', 'llm', completed.shown)
+    recorder = recorder_at_load(in_flight)
+    recorder.record(report, SERVICE, now_s=1.0)
+    detector = recorder.upstreams.outliers.get('llm')
     return detector is not None and detector.states['i-1'].failures > 0
 
 
@@ -54,11 +54,13 @@
         (Lost('reset'), 3, True),
     ],
 )
-def test_only_free_upstreams_fail_by_turning_away(outcome, in_flight, counts):
-    """A region is busier than its upstreams, whose queues are full.
+def test_refusal_counts_only_against_upstreams_with_free_slots(
+    outcome, in_flight, counts
+):
+    """Upstreams with full queues refuse requests and are not at fault.
 
-    They turn requests away. Counted as failures these left the upstreams out
-    one after the other; callers were refused while two of four stood idle.
+    Counted as failures, such refusals excluded the upstreams one after the
+    other; callers were refused while two of four upstreams were idle.
     """
     assert counts_against(outcome, in_flight) is counts
 
@@ -71,20 +73,20 @@
         ({}, 60, False),
     ],
 )
-def test_speed_is_learned_of_engines_with_nothing_else_to_read(
+def test_speed_is_learned_only_without_other_prompts_ahead(
     changes,
     in_flight,
     learns,
 ):
     """A first event that waited for other prompts shows no engine's speed.
 
-    Taken for it, an engine would look the slower the more it is asked, and
+    Otherwise an engine would seem slower the more requests it receives, and
     its callers would be refused.
     """
-    learned = attempt_recorder(in_flight)
-    speed = learned.upstreams.learned(SERVICE)
+    recorder = recorder_at_load(in_flight)
+    speed = recorder.upstreams.learned(SERVICE)
     before_s = speed.token_s
-    made = AttemptShown(
+    report = AttemptShown(
         'i-1',
         'llm',
         Shown.answered,
@@ -94,21 +96,21 @@
         unread_tokens=8000,
         **changes,
     )
-    learned.record(made, SERVICE, now_s=1.0)
+    recorder.record(report, SERVICE, now_s=1.0)
     assert (speed.token_s < before_s) is learns
 
 
 @pytest.mark.parametrize(
-    ('choice', 'held_up'),
+    ('choice', 'had_to_wait'),
     [
         ({}, False),
         ({'waiting_tokens': 9000.0}, True),
         ({'is_cold': True}, True),
     ],
 )
-def test_what_waits_before_a_prompt_is_told_with_its_time(choice, held_up):
-    """Whoever learns of the attempt does not know what the choice knew."""
-    announcement = []
+def test_report_states_whether_the_prompt_had_to_wait(choice, had_to_wait):
+    """The recorder of a report does not know the choice that it is about."""
+    reports = []
     fields = {'waiting_tokens': 0.0, 'is_cold': False, **choice}
     chosen = SimpleNamespace(
         upstream=SimpleNamespace(
@@ -124,7 +126,7 @@
         attempt_recorder=SimpleNamespace(
             record=lambda shown, service, now_s: None
         ),
-        picker=SimpleNamespace(report_attempt=announcement.append),
+        picker=SimpleNamespace(report_attempt=reports.append),
         quarantine=SimpleNamespace(knows_length=lambda length: False),
     )
     request = SimpleNamespace(
@@ -133,6 +135,6 @@
         http=SimpleNamespace(body=b''),
     )
     attempt = SimpleNamespace(misdirected=False, connected=True)
-    made = CompletedAttempt(chosen, attempt, Streamed(), 0.06, 0.5)
-    AttemptFeedback(context, request).report_upstream(made)
-    assert [one.was_held_up for one in announcement] == [held_up]
+    completed = CompletedAttempt(chosen, attempt, Streamed(), 0.06, 0.5)
+    AttemptFeedback(context, request).report_upstream(completed)
+    assert [report.was_held_up for report in reports] == [had_to_wait]
--- a/godwitshunt/ingress/tests/test_hops.py
+++ b/godwitshunt/ingress/tests/test_hops.py
@@ -1,4 +1,4 @@
-"""Requests that another entry VM hands over, and what this one knows."""
+"""Requests that another entry VM forwards."""
 
 from types import SimpleNamespace
 
@@ -23,8 +23,8 @@
 KEY = b'cluster'
 
 
-def handed_over(organisation: str) -> HttpRequest:
-    """Return a request of an organisation, as another VM hands it over."""
+def forwarded_request(organisation: str) -> HttpRequest:
+    """Return a request of an organisation as another VM forwards it."""
     note = ForwardNote(
         path=['e-1'],
         regions=['tvm'],
@@ -52,29 +52,29 @@
 
 
 @pytest.mark.parametrize(
-    ('organisation', 'is_taken'),
+    ('organisation', 'is_accepted'),
     [('wards', True), ('others', False)],
 )
-def test_organisation_that_is_not_known_here_yet_is_refused(
+def test_forwarded_request_of_unknown_organisation_is_refused(
     organisation,
-    is_taken,
+    is_accepted,
 ):
-    """A VM that is a revision behind, and serves what it knows no homes of."""
+    """A VM one revision behind does not know the homes of the request."""
     context = SimpleNamespace(
         settings=SimpleNamespace(name='e-2'),
         cluster_key=KEY,
         names=HeaderNames(),
         timer=SimpleNamespace(now=lambda: 5.0),
     )
-    read = read_forwarded_request(
-        handed_over(organisation), active_revision(WARDS), context
+    outcome = read_forwarded_request(
+        forwarded_request(organisation), active_revision(WARDS), context
     )
-    assert isinstance(read, Ok) is is_taken
-    if is_taken:
-        assert read.ok_value.organisation == WARDS
+    assert isinstance(outcome, Ok) is is_accepted
+    if is_accepted:
+        assert outcome.ok_value.organisation == WARDS
         return
-    assert read.err_value.reason == 'revision'
+    assert outcome.err_value.reason == 'revision'
     later = read_forwarded_request(
-        handed_over(organisation), active_revision(WARDS, OTHERS), context
+        forwarded_request(organisation), active_revision(WARDS, OTHERS), context
     )
     assert later.ok_value.organisation == OTHERS
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""What an entry VM does with an upstream that starts again under its name."""
+"""Upstreams that restart under the same name."""
 
 from types import SimpleNamespace
 
@@ -19,7 +19,7 @@
 
 NOW_S = 50.0
 NAMES = HeaderNames()
-TOLD = UpstreamAnnounced(
+ANNOUNCEMENT = UpstreamAnnounced(
     'i-1',
     'llm',
     Address(host='10.0.0.1', port=80),
@@ -32,11 +32,11 @@
 )
 
 
-def test_a_request_names_the_upstream_and_its_connection_the_start():
-    """An upstream knows its own name, and nothing of our incarnations.
+def test_request_names_the_upstream_and_connection_the_incarnation():
+    """An upstream knows its own name but not the incarnations of this system.
 
-    With the incarnation for its name it would turn every request away; with a
-    connection to the start before, what is sent would be lost.
+    It would refuse any request that names its incarnation. A connection to the
+    previous incarnation would lose the request.
     """
     request = SimpleNamespace(
         route=SimpleNamespace(repeatable=True),
@@ -55,20 +55,20 @@
         names=NAMES,
         timer=SimpleNamespace(now=lambda: NOW_S),
     )
-    made = sender.build_upstream_request(TOLD)
-    assert made.origin == 'i-1~1000'
-    assert dict(made.headers)[NAMES.expected_instance] == b'i-1'
-    assert dict(made.headers)[NAMES.organisation] == b'wards'
+    outgoing = sender.build_upstream_request(ANNOUNCEMENT)
+    assert outgoing.origin == 'i-1~1000'
+    assert dict(outgoing.headers)[NAMES.expected_instance] == b'i-1'
+    assert dict(outgoing.headers)[NAMES.organisation] == b'wards'
 
 
-def test_connections_to_a_start_that_ended_are_closed():
-    """The tick of an entry VM follows which incarnations there are."""
-    forgotten = []
+def test_connections_to_ended_incarnations_are_closed():
+    """The tick of an entry VM follows the known incarnations."""
+    removed_except = []
 
-    def note(present):
-        forgotten.append(set(present))
+    def record(present):
+        removed_except.append(set(present))
 
-    forgets = SimpleNamespace(forget=note)
+    recorder = SimpleNamespace(forget=record)
     view = RegistryView(upstreams={'i-1~1000': None})
     task = IngressTask.__new__(IngressTask)
     task.in_progress = 0
@@ -77,40 +77,46 @@
         timer=SimpleNamespace(now=lambda: NOW_S),
         neighbours=SimpleNamespace(record_entries=lambda entries, now_s: None),
         upstreams=SimpleNamespace(forget=lambda present: None),
-        budgets=SimpleNamespace(cold=forgets),
-        pool=forgets,
+        budgets=SimpleNamespace(cold=recorder),
+        pool=recorder,
         metrics=SimpleNamespace(gauge=lambda name, value: None),
     )
     task.tick()
-    assert forgotten == [{'i-1~1000'}, {'i-1~1000'}]
+    assert removed_except == [{'i-1~1000'}, {'i-1~1000'}]
 
 
 @pytest.mark.parametrize('connected', [True, False])
-def test_a_failed_connect_makes_an_upstream_suspect(connected):
-    """It may start again at any moment, and be cold before that is heard."""
+def test_failed_connect_is_reported_as_unreached(connected):
+    """The upstream may restart at any time and be cold before that is known."""
     attempt = SimpleNamespace(misdirected=False, connected=connected)
-    choice = SimpleNamespace(upstream=SimpleNamespace(announcement=TOLD))
-    made = CompletedAttempt(choice, attempt, NotRun('connect'), None, 0.1)
-    assert (made.shown is Shown.unreached) is not connected
+    choice = SimpleNamespace(
+        upstream=SimpleNamespace(announcement=ANNOUNCEMENT)
+    )
+    completed = CompletedAttempt(choice, attempt, NotRun('connect'), None, 0.1)
+    assert (completed.shown is Shown.unreached) is not connected
     upstreams = Upstreams()
     attempt_recorder = AttemptRecorder(
         upstreams, RegistryView, lambda incarnation: None
     )
-    if made.shown is not None:
+    if completed.shown is not None:
         attempt_recorder.record(
-            AttemptShown('i-1', 'llm', made.shown), None, NOW_S
+            AttemptShown('i-1', 'llm', completed.shown), None, NOW_S
         )
     health = upstreams.of('i-1')
-    missed = (health.connect_failed_s, health.down_until_s)
-    assert (missed == (NOW_S, NOW_S + CONNECT_BACKOFF_S)) is not connected
+    failure = (health.connect_failed_s, health.down_until_s)
+    assert (failure == (NOW_S, NOW_S + CONNECT_BACKOFF_S)) is not connected
 
 
-def test_another_upstream_at_the_address_is_told():
-    """The start that was meant is no longer there; nothing ran."""
-    left = []
+def test_another_upstream_at_the_address_is_reported():
+    """The intended incarnation has ended; nothing ran."""
+    replaced = []
     attempt = SimpleNamespace(misdirected=True, connected=True)
     outcome = NotRun('status 421', arrived=True)
-    made = CompletedAttempt(None, attempt, outcome, None, 0.1)
-    attempt_recorder = AttemptRecorder(Upstreams(), RegistryView, left.append)
-    attempt_recorder.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
-    assert left == ['i-1']
+    completed = CompletedAttempt(None, attempt, outcome, None, 0.1)
+    attempt_recorder = AttemptRecorder(
+        Upstreams(), RegistryView, replaced.append
+    )
+    attempt_recorder.record(
+        AttemptShown('i-1', 'llm', completed.shown), None, NOW_S
+    )
+    assert replaced == ['i-1']
--- a/godwitshunt/ingress/tests/test_quarantined_request.py
+++ b/godwitshunt/ingress/tests/test_quarantined_request.py
@@ -1,4 +1,4 @@
-"""A request that is suspected or quarantined, attempt by attempt."""
+"""Attempts of a suspected or quarantined request."""
 
 from types import SimpleNamespace
 
@@ -22,17 +22,17 @@
 )
 from godwitshunt.telemetry import Metrics
 
-LETHAL = Fingerprint(bytes(16))
+CRASHING = Fingerprint(bytes(16))
 LENGTH_S = 100.0
 
 
-class Life(RequestLifecycle):
-    """A request that no upstream is chosen for."""
+class QuarantinedRequest(RequestLifecycle):
+    """A request that was lost to a number of crashed upstreams."""
 
-    def __init__(self, ends: int, attempts: int = 3):
+    def __init__(self, crashes: int, attempts: int = 3):
         self.now_s = 10.0
         self.quarantine = Quarantine(LENGTH_S, lambda: self.now_s, Metrics())
-        for number in range(ends):
+        for number in range(crashes):
             self.lose(f'i-{number}')
         self.context = SimpleNamespace(
             quarantine=self.quarantine,
@@ -41,32 +41,32 @@
         self.request = SimpleNamespace(
             http=SimpleNamespace(body=b'hello'),
             service=SimpleNamespace(name='llm'),
-            fingerprint=LETHAL,
+            fingerprint=CRASHING,
         )
         self.progress = Progress(repeatable=True, attempts=attempts)
 
-    def lose(self, place):
-        """Let an upstream end under the request, a second later."""
+    def lose(self, incarnation):
+        """Record the crash of another upstream, one second later."""
         self.now_s += 1
-        loss = Loss(place, self.now_s, 0.1)
-        self.quarantine.record_loss(LostRequest(LETHAL, '', 5, loss))
+        loss = Loss(incarnation, self.now_s, 0.1)
+        self.quarantine.record_loss(LostRequest(CRASHING, '', 5, loss))
 
 
 @pytest.mark.parametrize(
-    ('ends', 'is_sent'),
+    ('crashes', 'is_sent'),
     [(0, True), (1, True), (2, True), (3, False), (4, False)],
 )
-def test_caller_may_send_until_the_third_end(ends, is_sent):
-    """A request that is refused too soon, or sent to a fourth upstream."""
-    assert (Life(ends).quarantine_step() is None) is is_sent
+def test_caller_may_send_until_the_third_crash(crashes, is_sent):
+    """Guards against an early refusal and against a fourth crash."""
+    assert (QuarantinedRequest(crashes).quarantine_step() is None) is is_sent
 
 
-def test_suspected_request_is_not_sent_again_by_this_system():
-    """One attempt of a client that uses up three upstreams by itself."""
-    life = Life(ends=1)
-    life.lose('i-8')
-    assert life.progress.next_step(Lost('ended'), remaining_s=3.0) == Retry()
-    step = life.quarantine_step()
+def test_suspected_request_is_not_retried():
+    """Retries of one attempt could crash three upstreams by themselves."""
+    request = QuarantinedRequest(crashes=1)
+    request.lose('i-8')
+    assert request.progress.next_step(Lost('ended'), remaining_s=3.0) == Retry()
+    step = request.quarantine_step()
     assert step.kind is ProblemKind.upstream_broken
     assert step.outcome is Outcome.unknown
 
@@ -75,24 +75,24 @@
     ('runs', 'begun', 'outcome'),
     [(0, False, 'not-run'), (1, False, 'unknown'), (1, True, None)],
 )
-def test_refusal_tells_what_ran(runs, begun, outcome):
-    """*Not run*, told of a request that an upstream ended under just now."""
-    life = Life(ends=3)
+def test_refusal_states_whether_the_request_ran(runs, begun, outcome):
+    """A request that may have crashed an upstream is not called *not run*."""
+    request = QuarantinedRequest(crashes=3)
     for _ in range(runs):
-        life.progress.next_step(Lost('ended'), remaining_s=3.0)
-    life.progress.begun = begun
-    step = life.quarantine_step()
+        request.progress.next_step(Lost('ended'), remaining_s=3.0)
+    request.progress.begun = begun
+    step = request.quarantine_step()
     if outcome is None:
         assert step == BreakOff()
     else:
         assert step.outcome.value == outcome
 
 
-def test_other_vm_that_keeps_it_back_has_the_last_word():
-    """A request that is handed from region to region, and asked for anew."""
+def test_refusal_by_another_vm_is_final():
+    """A quarantined request must not be forwarded from region to region."""
     progress = Progress(repeatable=True, attempts=3)
-    refused = NotRun('vm: quarantined: lost to i-1', is_final=True)
-    step = progress.next_step(refused, remaining_s=3.0)
+    refusal = NotRun('vm: quarantined: lost to i-1', is_final=True)
+    step = progress.next_step(refusal, remaining_s=3.0)
     assert isinstance(step, RefuseWith)
     assert (step.kind, step.outcome) == (
         ProblemKind.quarantined,
@@ -100,16 +100,16 @@
     )
 
 
-def test_probe_is_sent_and_others_wait_for_it():
-    """All repeats that come at the end of a quarantine, let through."""
-    life = Life(ends=3)
-    life.now_s += LENGTH_S
-    assert life.quarantine_step() is None
-    assert life.is_probe
-    other = Life(ends=0)
-    other.context.quarantine = life.quarantine
-    other.request = life.request
+def test_probe_is_sent_and_repeats_wait_for_it():
+    """At the end of a quarantine only one of the waiting repeats is sent."""
+    request = QuarantinedRequest(crashes=3)
+    request.now_s += LENGTH_S
+    assert request.quarantine_step() is None
+    assert request.is_probe
+    other = QuarantinedRequest(crashes=0)
+    other.context.quarantine = request.quarantine
+    other.request = request.request
     assert other.quarantine_step().kind is ProblemKind.quarantined
-    assert life.quarantine_step() is None
-    life.progress.next_step(Lost('ended'), remaining_s=3.0)
-    assert life.quarantine_step().outcome is Outcome.unknown
+    assert request.quarantine_step() is None
+    request.progress.next_step(Lost('ended'), remaining_s=3.0)
+    assert request.quarantine_step().outcome is Outcome.unknown
--- a/godwitshunt/ingress/tests/test_startup.py
+++ b/godwitshunt/ingress/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""A VM that has just started, while news of the others still comes."""
+"""Requests at a VM that has started recently and still receives updates."""
 
 import asyncio
 from types import SimpleNamespace
@@ -13,12 +13,12 @@
 from godwitshunt.registry.tests.deployment import Deployment, address
 from godwitshunt.registry.watch import WARM_UP_PERIOD_S, WARM_UP_S
 
-NOWHERE = NoPlace(overloaded=False, retry_after_s=0.4)
+NO_UPSTREAM = NoPlace(overloaded=False, retry_after_s=0.4)
 FULL = NoPlace(overloaded=True, retry_after_s=0.4)
 
 
-class Choosing(RequestLifecycle):
-    """A request whose choices a test has written down."""
+class ScriptedRequest(RequestLifecycle):
+    """A request with predefined choices."""
 
     def __init__(self, choices, *, is_young=True):
         self.choices = list(choices)
@@ -30,104 +30,105 @@
 
 
 @pytest.fixture(autouse=True)
-def _no_wait(monkeypatch):
+def _no_update_wait(monkeypatch):
     monkeypatch.setattr('godwitshunt.ingress.lifecycle.UPDATE_WAIT_S', 0)
 
 
 @pytest.mark.parametrize(
-    ('choices', 'is_young', 'left'),
+    ('choices', 'is_young', 'remaining_choices'),
     [
-        ([NOWHERE, 'i-1', 'i-2'], True, 1),
-        ([NOWHERE, NOWHERE, NOWHERE, NOWHERE, 'i-1'], True, 1),
-        ([NOWHERE, 'i-1'], False, 1),
+        ([NO_UPSTREAM, 'i-1', 'i-2'], True, 1),
+        ([NO_UPSTREAM, NO_UPSTREAM, NO_UPSTREAM, NO_UPSTREAM, 'i-1'], True, 1),
+        ([NO_UPSTREAM, 'i-1'], False, 1),
         ([FULL, 'i-1'], True, 1),
     ],
 )
-async def test_a_request_waits_for_news_of_a_first_upstream(
+async def test_request_waits_for_updates_about_a_first_upstream(
     choices,
     is_young,
-    left,
+    remaining_choices,
 ):
-    """After the start of all VMs a region hears of the others last.
+    """After a full restart a VM learns of other regions last.
 
-    Its requests that only those may serve were refused for half a second, and
-    came back after their objective. One that finds full upstreams, or a VM
-    that has known for long that there is none, is refused at once.
+    Requests that only those can serve were refused for half a second, and
+    callers came back after their objective. Requests are refused at once where
+    upstreams are full, or where the VM has run long enough to know that there
+    is none.
     """
-    request = Choosing(choices, is_young=is_young)
+    request = ScriptedRequest(choices, is_young=is_young)
     await request.choose_after_updates()
-    assert len(request.choices) == left
+    assert len(request.choices) == remaining_choices
 
 
-async def test_the_first_control_vm_is_asked_often_while_young():
-    """Other VMs take requests a moment later than this one asked first."""
+async def test_first_control_vm_is_polled_often_after_the_start():
+    """Other VMs accept requests slightly later than this VM polls first."""
     deployment = Deployment()
     watch = deployment.entry(101)
     await deployment.greet(watch)
     watch.started_s = deployment.timer.now()
-    asked: list[str] = []
-    watch.start_poll = lambda target: asked.append(str(target))
+    polled: list[str] = []
+    watch.start_poll = lambda target: polled.append(str(target))
     deployment.timer.advance(WARM_UP_PERIOD_S)
     watch.tick()
-    assert asked == [str(address(1))]
+    assert polled == [str(address(1))]
     watch.started_s -= WARM_UP_S
     watch.tick()
-    assert asked == [str(address(1))]
+    assert polled == [str(address(1))]
 
 
-async def test_a_control_vm_that_never_answered_is_asked_again_soon():
-    """It starts a moment later than the VMs that ask it.
+async def test_control_vm_that_never_answered_is_polled_again_soon():
+    """The control VM may start slightly later than the VMs that poll it.
 
-    One that has answered before is asked with the next period only: while it
-    is gone, each VM would else ask it ten times a second.
+    One that has answered before is polled with the next period only. Otherwise
+    each VM would poll it ten times a second while it is down.
     """
     deployment = Deployment()
     watch = deployment.entry(101)
     await deployment.poll(watch, 1)
     watch.started_s = deployment.timer.now()
     watch.subscription = SimpleNamespace()
-    again = []
+    retries = []
     watch.timer = SimpleNamespace(
         now=deployment.timer.now,
-        after=lambda when_s, work: again.append(work),
+        after=lambda when_s, work: retries.append(work),
     )
     watch.retry_initial_poll(address(1))
-    assert not again
+    assert not retries
     watch.retry_initial_poll(address(2))
-    assert len(again) == 1
+    assert len(retries) == 1
     watch.subscription = None
     watch.retry_initial_poll(address(2))
-    assert len(again) == 1
+    assert len(retries) == 1
 
 
 @pytest.mark.parametrize(
-    ('is_young', 'comes_after_s', 'waited', 'admitted'),
+    ('is_young', 'arrives_after_s', 'waited', 'admitted'),
     [
         (True, 0.01, True, True),
         (True, None, True, False),
         (False, None, False, False),
     ],
 )
-async def test_a_request_just_before_the_first_revision_waits_for_it(
+async def test_request_before_the_first_revision_waits_for_it(
     monkeypatch,
     is_young,
-    comes_after_s,
+    arrives_after_s,
     waited,
     admitted,
 ):
-    """All VMs got power, and a VM has its revision a moment later.
+    """After a power failure a VM receives its revision shortly after it starts.
 
-    Refused, callers would come back after that; one that can have none for
-    long must be refused at once.
+    Refused callers would come back later than that. A VM that cannot receive a
+    revision soon must refuse at once.
     """
     monkeypatch.setattr('godwitshunt.ingress.task.FIRST_REVISION_WAIT_S', 0.1)
     task = IngressTask.__new__(IngressTask)
     task.active_revision = None
     task.configured = asyncio.Event()
     task.context = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
-    if comes_after_s is not None:
+    if arrives_after_s is not None:
         loop = asyncio.get_running_loop()
-        loop.call_later(comes_after_s, task.configured.set)
+        loop.call_later(arrives_after_s, task.configured.set)
     waiting = asyncio.create_task(task.wait_for_revision())
     for _ in range(3):
         await asyncio.sleep(0)
