--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -160,7 +160,7 @@
             sums = dict(self.pools[other].admitted)
             asof_s = now_s - WAY_S
             share = shares[str(other)]
-            self.pools[region].hear(source, sums, asof_s, share)
+            self.pools[region].apply_peer_totals(source, sums, asof_s, share)
             self.peers_seen_s[region, other] = asof_s
 
 
@@ -221,7 +221,7 @@
             )
             source = 'all others'
             asof_s = now_s - WAY_S
-            self.pools[vm].hear(source, {NAME: total}, asof_s)
+            self.pools[vm].apply_peer_totals(source, {NAME: total}, asof_s)
 
 
 @dataclass
--- a/godwitshunt/ingress/lifecycle.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -262,7 +262,9 @@
         active revision. Such a choice is not used.
         """
         for _ in range(MAX_PICKER_QUERIES):
-            choice = await self.context.picker.place(self.question())
+            choice = await self.context.picker.request_destination(
+                self.question()
+            )
             self.record_charge(choice)
             if choice is None or self.is_valid_choice(choice):
                 return choice
--- a/godwitshunt/ingress/tests/test_startup.py
+++ b/godwitshunt/ingress/tests/test_startup.py
@@ -64,7 +64,7 @@
     """Other VMs accept requests slightly later than this VM polls first."""
     deployment = Deployment()
     watch = deployment.entry(101)
-    await deployment.greet(watch)
+    await deployment.poll_controls(watch)
     watch.started_s = deployment.timer.now()
     polled: list[str] = []
     watch.start_poll = lambda target: polled.append(str(target))
--- a/godwitshunt/organisations/tests/test_limits.py
+++ b/godwitshunt/organisations/tests/test_limits.py
@@ -146,7 +146,7 @@
                 continue
             source = f'{sender.name} {sender.process}'
             share = fixed_shares(REGIONS)[sender.name]
-            node.pool.hear(source, sums, asof_s, share)
+            node.pool.apply_peer_totals(source, sums, asof_s, share)
             node.heard[sender.name] = asof_s
 
     def cut(self, region: str) -> None:
@@ -284,9 +284,9 @@
     """
     pool = LimitPool()
     pool.configure({NAME: LIMIT}, 0.0, starts=False)
-    pool.hear('b-1', {NAME: 0.0}, 0.0)
+    pool.apply_peer_totals('b-1', {NAME: 0.0}, 0.0)
     assert not pool.wait_s(NAME, 5.0, ALL, 6.0)
-    pool.hear('b-1', {NAME: 600.0}, 6.0)
+    pool.apply_peer_totals('b-1', {NAME: 600.0}, 6.0)
     assert not pool.wait_s(NAME, 5.0, ALL, 6.2)
 
 
@@ -312,9 +312,9 @@
     """A VM had no picker for a moment, and admitted by its own part."""
     pool = LimitPool()
     pool.configure({NAME: LIMIT}, 0.0, starts=False)
-    pool.hear_vm('vm-1', {}, 0.0)
-    pool.hear_vm('vm-1', {NAME: 80.0}, 0.1)
-    pool.hear_vm('vm-1', {NAME: 80.0}, 0.2)
+    pool.apply_vm_totals('vm-1', {}, 0.0)
+    pool.apply_vm_totals('vm-1', {NAME: 80.0}, 0.1)
+    pool.apply_vm_totals('vm-1', {NAME: 80.0}, 0.2)
     assert pool.admitted == {NAME: 80.0}
     assert pool.wait_s(NAME, 60.0, ALL, 0.2) > 0
 
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -60,7 +60,9 @@
         self.metrics = metrics
         self.is_due = False
 
-    async def place(self, question: DestinationRequest) -> Choice | None:
+    async def request_destination(
+        self, question: DestinationRequest
+    ) -> Choice | None:
         """Return where a request goes; None where this VM must choose."""
         picker = self.watch.picker()
         if picker is None:
--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -70,7 +70,7 @@
         for control, table in self.tables.joined.tables.items():
             if control == self.tables.own_name or not table.source:
                 continue
-            self.pool.hear(
+            self.pool.apply_peer_totals(
                 f'{control} {table.source}',
                 table.admitted,
                 table.loads_asof_s,
@@ -96,7 +96,7 @@
     ) -> None:
         """Take what an entry VM has admitted by itself."""
         if told and self.pool.buckets:
-            self.pool.hear_vm(session, admitted_from_wire(told), now_s)
+            self.pool.apply_vm_totals(session, admitted_from_wire(told), now_s)
 
     def forget(self, now_s: float) -> None:
         """Drop the counts of processes that are long gone."""
--- a/godwitshunt/picking/tests/region.py
+++ b/godwitshunt/picking/tests/region.py
@@ -104,7 +104,7 @@
             remaining_s=4.0,
             **changes,
         )
-        return await self.client.place(question)
+        return await self.client.request_destination(question)
 
     def begin(self, instance: str, tokens: int = 0) -> int:
         """Send a request to an upstream; return its number."""
@@ -182,7 +182,7 @@
         await self.exchange()
         await self.exchange()
         for entry in entries:
-            await self.greet(entry.watch)
+            await self.poll_controls(entry.watch)
 
     def picker_of(self, entry: Entry) -> Address | None:
         """Return whom an entry VM asks."""
--- a/godwitshunt/picking/wire.py
+++ b/godwitshunt/picking/wire.py
@@ -13,7 +13,7 @@
 from godwitshunt.picking.picker import DestinationRequest, Given, Unable
 from godwitshunt.registry import UpstreamSeen
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.views import heard
+from godwitshunt.registry.views import reported_upstream
 from godwitshunt.registry.wire import (
     MILLISECONDS,
     announcement_to_wire,
@@ -154,7 +154,9 @@
     match GivenKind(made.kind):
         case GivenKind.upstream:
             told = upstream_from_wire(made.upstream)
-            one = heard(told, now_s, silent=bool(made.upstream.silent))
+            one = reported_upstream(
+                told, now_s, silent=bool(made.upstream.silent)
+            )
             return SendHere(
                 UpstreamSeen(
                     told,
--- a/godwitshunt/programs/control_process.py
+++ b/godwitshunt/programs/control_process.py
@@ -20,7 +20,7 @@
 from godwitshunt.programs.start import make_links, start_listening, vm_record
 from godwitshunt.registry import RegistryService
 from godwitshunt.registry.quarantine_api import QuarantineApi
-from godwitshunt.registry.relay import ControlLocation
+from godwitshunt.registry.table_updates import ControlLocation
 from godwitshunt.settings import Address, ControlSettings
 from godwitshunt.telemetry import Metrics, log_change
 from godwitshunt.timer import TimerService
--- a/godwitshunt/registry/asking.py
+++ b/godwitshunt/registry/asking.py
@@ -14,8 +14,8 @@
 from godwitshunt.registry.joined import JoinedTables
 from godwitshunt.registry.prefixes import CachedPrefix
 from godwitshunt.registry.records import EntryRecord
-from godwitshunt.registry.relay import Scope, relayed_news
 from godwitshunt.registry.suspect_wire import suspects_to_wire
+from godwitshunt.registry.table_updates import Scope, relayed_news
 from godwitshunt.registry.views import ControlTable
 from godwitshunt.registry.wire import (
     MILLISECONDS,
--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -19,8 +19,12 @@
 from godwitshunt.registry.ledger import SummedLoads
 from godwitshunt.registry.prefixes import PrefixTable
 from godwitshunt.registry.records import Load
-from godwitshunt.registry.relay import ControlLocation, Scope, relayed_news
 from godwitshunt.registry.suspect_wire import suspects_from_wire
+from godwitshunt.registry.table_updates import (
+    ControlLocation,
+    Scope,
+    relayed_news,
+)
 from godwitshunt.registry.views import RegistryView
 from godwitshunt.registry.wire import (
     address_of,
--- a/godwitshunt/registry/prefixes.py
+++ b/godwitshunt/registry/prefixes.py
@@ -55,8 +55,8 @@
     Examples
     --------
     >>> table = PrefixTable()
-    >>> table.note(CachedPrefix(7, 'i-1', read_s=1.0))
-    >>> table.note(CachedPrefix(7, 'i-2', read_s=2.0))
+    >>> table.record(CachedPrefix(7, 'i-1', read_s=1.0))
+    >>> table.record(CachedPrefix(7, 'i-2', read_s=2.0))
     >>> sorted(table.holders(7, now_s=3.0)), table.holders(8, now_s=3.0)
     (['i-1', 'i-2'], frozenset())
     >>> [read.instance for read in table.since(1)]
@@ -69,7 +69,7 @@
     by_key: dict[int, dict[str, float]] = field(default_factory=dict)
     version: int = 0
 
-    def note(self, read: CachedPrefix) -> None:
+    def record(self, read: CachedPrefix) -> None:
         """Take a read; an older one than is known changes nothing."""
         known = self.by_key.setdefault(read.key, {})
         if read.read_s <= known.get(read.instance, float('-inf')):
@@ -85,7 +85,7 @@
     def take(self, reads: Iterable[CachedPrefix]) -> None:
         """Take several reads."""
         for read in reads:
-            self.note(read)
+            self.record(read)
 
     def holders(self, key: int | None, now_s: float) -> frozenset[str]:
         """Return the incarnations that read a prefix of late."""
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -22,7 +22,6 @@
 from godwitshunt.registry.ledger import LoadLedger, Report, SummedLoads
 from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.registry.records import EntryRecord, UpstreamAnnounced
-from godwitshunt.registry.relay import ControlLocation, Scope, own_news
 from godwitshunt.registry.suspect_wire import (
     suspects_from_wire,
     suspects_to_wire,
@@ -33,6 +32,7 @@
     UpstreamEntry,
     UpstreamTable,
 )
+from godwitshunt.registry.table_updates import ControlLocation, Scope, own_news
 from godwitshunt.registry.views import RegistryView
 from godwitshunt.registry.wire import (
     admitted_to_wire,
--- a/godwitshunt/registry/tests/deployment.py
+++ b/godwitshunt/registry/tests/deployment.py
@@ -9,8 +9,8 @@
 from godwitshunt.peer.messages import NotSent, OutcomeUnknown
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.records import EntryRecord
-from godwitshunt.registry.relay import ControlLocation
 from godwitshunt.registry.service import RegistryService
+from godwitshunt.registry.table_updates import ControlLocation
 from godwitshunt.registry.watch import OwnState, RegistryWatch
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics
@@ -185,7 +185,7 @@
                 if other != address(number):
                     await self.controls[number].tables.ask(other)
 
-    async def greet(self, watch: RegistryWatch) -> None:
+    async def poll_controls(self, watch: RegistryWatch) -> None:
         """Let an entry VM ask all control VMs for the first time."""
         for number in self.controls:
             await self.poll(watch, number)
--- a/godwitshunt/registry/tests/test_prefixes.py
+++ b/godwitshunt/registry/tests/test_prefixes.py
@@ -22,7 +22,7 @@
     deployment = Deployment()
     watches = [deployment.entry(number) for number in numbers]
     for watch in watches:
-        await deployment.greet(watch)
+        await deployment.poll_controls(watch)
     return deployment, watches
 
 
@@ -44,7 +44,7 @@
     deployment = Deployment()
     one, other = deployment.entry(101, 'a'), deployment.entry(102, 'b')
     for watch in (one, other):
-        await deployment.greet(watch)
+        await deployment.poll_controls(watch)
     one.record_cached_prefix(KEY, 'i-1')
     await deployment.poll(one)
     await deployment.exchange()
@@ -137,8 +137,8 @@
 def test_a_late_old_read_changes_nothing():
     """Reads overtake one another between VMs."""
     table = PrefixTable()
-    table.note(CachedPrefix(KEY, 'i-1', read_s=5.0))
-    table.note(CachedPrefix(KEY, 'i-1', read_s=4.0))
+    table.record(CachedPrefix(KEY, 'i-1', read_s=5.0))
+    table.record(CachedPrefix(KEY, 'i-1', read_s=4.0))
     assert table.version == 1
     assert table.since(0) == (CachedPrefix(KEY, 'i-1', read_s=5.0),)
 
@@ -147,6 +147,6 @@
     """Prompts that are never shared would else fill a VM's memory."""
     table = PrefixTable()
     for key in range(MAX_PREFIXES + 10):
-        table.note(CachedPrefix(key, 'i-1', read_s=float(key)))
+        table.record(CachedPrefix(key, 'i-1', read_s=float(key)))
     assert len(table.reads) == len(table.by_key) == MAX_PREFIXES
     assert table.holders(0, now_s=0.0) == frozenset()
--- a/godwitshunt/registry/tests/test_quarantine_api.py
+++ b/godwitshunt/registry/tests/test_quarantine_api.py
@@ -54,7 +54,7 @@
 async def test_released_request_is_sent_again_by_all(deployment):
     """The service was mended, and its callers go on being refused."""
     watch = deployment.entry(11, 'a')
-    await deployment.greet(watch)
+    await deployment.poll_controls(watch)
     assessment = watch.quarantine.assessment(LETHAL)
     assert assessment.status is QuarantineStatus.quarantined
     asked = {'fingerprint': str(LETHAL)}
--- a/godwitshunt/registry/tests/test_suspects.py
+++ b/godwitshunt/registry/tests/test_suspects.py
@@ -50,7 +50,7 @@
         deployment.entry(13, 'a'),
     ]
     for number, watch in enumerate(watches):
-        await deployment.greet(watch)
+        await deployment.poll_controls(watch)
         lose(watch, f'i-{number}')
     deployment.timer.advance(1)
     await spread(deployment, *watches)
@@ -60,19 +60,19 @@
 async def test_vm_that_starts_anew_hears_of_what_is_kept_back(deployment):
     """A repeat that comes to an entry VM that has just started."""
     watch = deployment.entry(11, 'a')
-    await deployment.greet(watch)
+    await deployment.poll_controls(watch)
     for number in range(3):
         lose(watch, f'i-{number}')
     await spread(deployment, watch)
     young = deployment.entry(12, 'b')
-    await deployment.greet(young)
+    await deployment.poll_controls(young)
     assert status(young) is QuarantineStatus.quarantined
 
 
 async def test_control_vm_that_starts_anew_is_told_again(deployment):
     """All that was known, lost with the control VM's process."""
     watch = deployment.entry(11, 'a')
-    await deployment.greet(watch)
+    await deployment.poll_controls(watch)
     for number in range(3):
         lose(watch, f'i-{number}')
     await spread(deployment, watch)
@@ -83,7 +83,7 @@
         await deployment.poll(watch, 1)
         deployment.timer.advance(1)
     young = deployment.entry(12, 'a')
-    await deployment.greet(young)
+    await deployment.poll_controls(young)
     assert status(young) is QuarantineStatus.quarantined
 
 
@@ -91,7 +91,7 @@
     """Two regions that don't hear each other, then do."""
     north, south = deployment.entry(11, 'a'), deployment.entry(12, 'b')
     for watch in (north, south):
-        await deployment.greet(watch)
+        await deployment.poll_controls(watch)
     for one, other in ((1, 2), (11, 2), (12, 1)):
         deployment.network.split(address(one), address(other))
     for number in range(3):
@@ -111,7 +111,7 @@
     """A popular request, kept back by VMs that saw no answer to it."""
     north, south = deployment.entry(11, 'a'), deployment.entry(12, 'b')
     for watch in (north, south):
-        await deployment.greet(watch)
+        await deployment.poll_controls(watch)
     lose(north, 'i-1')
     lose(north, 'i-2')
     deployment.timer.advance(1)
@@ -127,12 +127,12 @@
 async def test_entry_vms_hear_nothing_of_what_was_lost_once(deployment):
     """An end of an engine that costs bytes at each of many VMs."""
     watch = deployment.entry(11, 'a')
-    await deployment.greet(watch)
+    await deployment.poll_controls(watch)
     for number in range(48):
         lose(watch, 'i-1', Fingerprint(number.to_bytes(16, 'big')))
     await spread(deployment, watch)
     other = deployment.entry(12, 'a')
-    await deployment.greet(other)
+    await deployment.poll_controls(other)
     assert not other.quarantine.table.records
     control = deployment.controls[1]
     assert len(control.quarantine.table.records) == 48
@@ -141,7 +141,7 @@
 async def test_in_calm_polls_and_replies_carry_nothing_of_it(deployment):
     """Bytes between regions for what never happened."""
     watch = deployment.entry(11, 'a')
-    await deployment.greet(watch)
+    await deployment.poll_controls(watch)
     now_s = deployment.timer.now()
     poll = watch.make_poll(str(address(1)), now_s)
     reply = deployment.controls[1].reply(poll)
@@ -158,7 +158,7 @@
     """A VM that asks the new process for what came after the old one's news."""
     watch, other = deployment.entry(11, 'a'), deployment.entry(12, 'b')
     for one in (watch, other):
-        await deployment.greet(one)
+        await deployment.poll_controls(one)
     for number in range(50):
         lose(watch, 'i-9', Fingerprint(number.to_bytes(16, 'little')))
     await spread(deployment, watch)
@@ -176,7 +176,7 @@
 async def test_control_vm_that_is_asked_first_later_is_told_all(deployment):
     """Losses that were held to be told, to one that was asked for a table."""
     watch = deployment.entry(11, 'a')
-    await deployment.greet(watch)
+    await deployment.poll_controls(watch)
     for number in range(3):
         lose(watch, f'i-{number}')
     await deployment.poll(watch, 2)
--- a/godwitshunt/registry/views.py
+++ b/godwitshunt/registry/views.py
@@ -130,7 +130,7 @@
             self.end(start, now_s)
         for info in news.upstreams or ():
             announcement = upstream_from_wire(info)
-            self.upstreams[announcement.instance] = heard(
+            self.upstreams[announcement.instance] = reported_upstream(
                 announcement,
                 now_s,
                 silent=bool(info.silent),
@@ -221,7 +221,7 @@
                 yield entry.record
 
 
-def heard(
+def reported_upstream(
     announcement: UpstreamAnnounced,
     now_s: float,
     *,
