--- a/godwitshunt/quarantine/__init__.py
+++ b/godwitshunt/quarantine/__init__.py
@@ -6,6 +6,11 @@
 no socket and no message.
 """
 
+from godwitshunt.quarantine.crash_causes import (
+    CONFIRMED_CRASH_TIMES,
+    CONFIRMED_CRASHES,
+    find_confirmed,
+)
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import Loss, SuspectRecord
 from godwitshunt.quarantine.state import (
@@ -20,11 +25,6 @@
     SuspectTable,
     SuspectUpdate,
 )
-from godwitshunt.quarantine.verdicts import (
-    CONFIRMED_CRASH_TIMES,
-    CONFIRMED_CRASHES,
-    find_confirmed,
-)
 
 __all__ = [
     'Fingerprint',
--- a/godwitshunt/quarantine/table.py
+++ b/godwitshunt/quarantine/table.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from godwitshunt.quarantine.crash_causes import find_confirmed
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import Loss, SuspectRecord
-from godwitshunt.quarantine.verdicts import find_confirmed
 
 # Requests that are remembered. An engine that ends takes up to its slots of
 # requests with it; this holds twenty such ends of 48.
