--- a/godwitshunt/ingress/feedback.py
+++ b/godwitshunt/ingress/feedback.py
@@ -146,7 +146,7 @@
     def record_whole_answer(self) -> None:
         """Clear a suspected request that was answered whole."""
         quarantine = self.context.quarantine
-        if quarantine.knows_length(len(self.request.http.body)):
+        if quarantine.has_suspected_length(len(self.request.http.body)):
             quarantine.clear(self.request.fingerprint)
 
     def count_long_prompt(self, choice: SendHere) -> None:
--- a/godwitshunt/ingress/lifecycle.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -198,7 +198,7 @@
         the next crash would be the third.
         """
         quarantine = self.context.quarantine
-        if not quarantine.knows_length(len(self.request.http.body)):
+        if not quarantine.has_suspected_length(len(self.request.http.body)):
             return None
         fingerprint = self.request.fingerprint
         assessment = quarantine.assessment(fingerprint, is_probe=self.is_probe)
--- a/godwitshunt/ingress/tests/test_feedback.py
+++ b/godwitshunt/ingress/tests/test_feedback.py
@@ -127,7 +127,7 @@
             record=lambda shown, service, now_s: None
         ),
         picker=SimpleNamespace(report_attempt=reports.append),
-        quarantine=SimpleNamespace(knows_length=lambda length: False),
+        quarantine=SimpleNamespace(has_suspected_length=lambda length: False),
     )
     request = SimpleNamespace(
         service=SERVICE,
--- a/godwitshunt/quarantine/__init__.py
+++ b/godwitshunt/quarantine/__init__.py
@@ -1,9 +1,9 @@
-"""Requests under which upstreams crash: told apart, counted, kept back.
+"""Detection and quarantine of requests that crash upstreams.
 
-An upstream that ends takes with it all that it runs. This slice remembers by
-content which requests were lost to which upstreams, finds the one that is lost
-wherever it goes, and keeps it back. It is pure but for its log lines; it knows
-no socket and no message.
+A crash of an upstream loses all requests that it runs. This package records by
+content which requests were lost to which upstreams, identifies the request
+that is lost wherever it is sent, and quarantines it. Except for its log lines
+it performs no I/O.
 """
 
 from godwitshunt.quarantine.crash_causes import (
--- a/godwitshunt/quarantine/crash_causes.py
+++ b/godwitshunt/quarantine/crash_causes.py
@@ -1,8 +1,8 @@
-"""Which of several lost requests crashes upstreams; pure.
+"""Identification of the requests that crash upstreams.
 
-An upstream that ends takes with it all that it runs. Each of those requests
-was lost there, one of them is the cause. What tells them apart: the cause is
-lost at each upstream that runs it, and others are answered elsewhere.
+A crash loses all requests that the upstream runs, and one of them is the
+cause. The cause is lost at each upstream that runs it, while the others are
+answered elsewhere.
 """
 
 from collections.abc import Iterable
@@ -10,47 +10,53 @@
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import SuspectRecord
 
-# Upstreams that end under a request, with no answer in between, until it is
-# held to be the cause.
+# Crashes under a request, without an answer in between, until it is confirmed
+# as the cause.
 CONFIRMED_CRASHES = 3
-# They must have ended at so many moments: a lost rack ends several at one, and
-# with them a request that many callers send alike.
+# Distinct times of these crashes. A failed rack crashes several upstreams at
+# one time, and with them copies of a request that many callers send.
 CONFIRMED_CRASH_TIMES = 2
-# At so many moments no other cause must explain the ends: a second cause that
-# was lost beside the first one each time is found by its next two.
-UNEXPLAINED_MOMENTS = 2
+# Distinct times of crashes that no other confirmed request explains. A second
+# cause that was lost together with the first one each time is confirmed by its
+# next two crashes.
+UNEXPLAINED_CRASH_TIMES = 2
 
 
 def find_confirmed(
     records: Iterable[SuspectRecord],
 ) -> dict[Fingerprint, int]:
-    """Return the requests that crash upstreams, with the ends under each.
+    """Return the requests that crash upstreams, with their numbers of crashes.
 
-    The one with the most ends goes first, and what ended under it speaks
-    against no other request any more: who merely stood by each time is not
-    held guilty with it. Among equals it is the one that upstreams had for the
-    shorter time, since the cause ends them soon and a bystander is there by
-    chance.
+    The request with the most crashes is confirmed first, and its crashes no
+    longer count against others: requests that were merely running each time
+    are not confirmed with it. Of requests with equal crashes, the one with the
+    shorter exposure is first, as the cause crashes upstreams soon while others
+    are running by chance.
     """
-    suspects = [one for one in records if is_suspect(one)]
-    suspects.sort(key=strength)
+    suspects = [record for record in records if is_suspect(record)]
+    suspects.sort(key=suspicion_key)
     confirmed: dict[Fingerprint, int] = {}
-    explained: set[str] = set()
+    explained_incarnations: set[str] = set()
     for record in suspects:
-        if record.moments(explained) >= UNEXPLAINED_MOMENTS:
-            confirmed[record.fingerprint] = len(record.held())
-            explained.update(one.incarnation for one in record.held())
+        if (
+            record.count_crash_times(explained_incarnations)
+            >= UNEXPLAINED_CRASH_TIMES
+        ):
+            confirmed[record.fingerprint] = len(record.counted_losses())
+            explained_incarnations.update(
+                loss.incarnation for loss in record.counted_losses()
+            )
     return confirmed
 
 
 def is_suspect(record: SuspectRecord) -> bool:
-    """Tell whether a request may be a cause, whatever else was lost."""
-    if len(record.held()) < CONFIRMED_CRASHES:
+    """Tell whether a request has enough crashes of its own."""
+    if len(record.counted_losses()) < CONFIRMED_CRASHES:
         return False
-    return record.moments() >= CONFIRMED_CRASH_TIMES
+    return record.count_crash_times() >= CONFIRMED_CRASH_TIMES
 
 
-def strength(record: SuspectRecord) -> tuple[int, float, bytes]:
-    """Return a key that sorts the strongest suspect first."""
+def suspicion_key(record: SuspectRecord) -> tuple[int, float, bytes]:
+    """Return a sort key that puts the strongest suspect first."""
     digest = record.fingerprint.digest
-    return (-len(record.held()), record.exposure_s(), digest)
+    return (-len(record.counted_losses()), record.total_exposure_s(), digest)
--- a/godwitshunt/quarantine/fingerprint.py
+++ b/godwitshunt/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""What stays the same when a request is sent once more; pure."""
+"""Fingerprints that are equal for all repeats of a request."""
 
 import hashlib
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True)
 class Fingerprint:
-    """Names a request by its content, the same on all VMs.
+    """Identifies a request by its content, equally on all VMs.
 
-    A repeat has an id of its own; method, host, path, organisation and body
-    are what stays. One byte of the body makes another request. A request of
-    another organisation has another fingerprint, so that nobody's requests
-    are kept back for what someone else sent.
+    A repeat has a new id but the same method, host, path, organisation and
+    body. Requests that differ in one byte have different fingerprints.
+    The organisation is included so that no organisation's requests are
+    quarantined because of another's.
 
     Parameters
     ----------
@@ -24,12 +24,12 @@
 
     Examples
     --------
-    >>> ask = Fingerprint.from_parts('POST', b'a.example', b'/x', '', b'hi')
-    >>> ask == Fingerprint.from_parts('POST', b'A.example', b'/x', '', b'hi')
+    >>> first = Fingerprint.from_parts('POST', b'a.example', b'/x', '', b'hi')
+    >>> first == Fingerprint.from_parts('POST', b'A.example', b'/x', '', b'hi')
     True
-    >>> ask == Fingerprint.from_parts('POST', b'a.example', b'/x', '', b'hj')
+    >>> first == Fingerprint.from_parts('POST', b'a.example', b'/x', '', b'hj')
     False
-    >>> len(str(ask))
+    >>> len(str(first))
     32
     """
 
@@ -49,13 +49,13 @@
         Parameters
         ----------
         host : bytes
-            As the caller sent it; its case does not matter.
+            As the caller sent it; case is ignored.
         target : bytes
             Path and query.
         organisation : str
-            Whose request it is; empty for nobody's.
+            The organisation that sent the request; empty for none.
         """
-        made = hashlib.blake2b(digest_size=DIGEST_BYTES)
+        digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
         parts = (
             method.encode(),
             host.lower(),
@@ -64,9 +64,9 @@
             body,
         )
         for part in parts:
-            made.update(len(part).to_bytes(LENGTH_BYTES, 'big'))
-            made.update(part)
-        return cls(made.digest())
+            digest.update(len(part).to_bytes(LENGTH_BYTES, 'big'))
+            digest.update(part)
+        return cls(digest.digest())
 
     def __str__(self) -> str:
         return self.digest.hex()
--- a/godwitshunt/quarantine/records.py
+++ b/godwitshunt/quarantine/records.py
@@ -1,9 +1,9 @@
-"""What is known of one request that was lost to upstreams; pure.
+"""Records of requests that were lost to crashed upstreams.
 
-Records are joined by union of named facts, so whoever tells whom, how often
-and in which order makes no difference: all processes that heard the same come
-to believe the same, but for the time that messages take. Times are seconds on
-this VM's monotonic clock.
+Records are joined by a union of named losses and clearances, which is
+commutative, associative and idempotent. Processes that have received the same
+data therefore agree, whatever the order, except for the delay of messages.
+Times are seconds on this VM's monotonic clock.
 """
 
 from collections.abc import Collection
@@ -12,30 +12,30 @@
 
 from godwitshunt.quarantine.fingerprint import Fingerprint
 
-# Losses that a record remembers; the oldest yield.
-MOST_PLACES = 16
-# VMs of other regions tell of one moment as of another, by the way of their
-# messages and of the news among control VMs.
-SAME_MOMENT_S = 0.2
-# An earlier word of what is known counts only where it is earlier by this, in
-# seconds: messages tell ages in milliseconds.
-EARLIER_BY_S = 0.01
-# Whole answers, and words of operators, that a record remembers.
-MOST_CLEARANCES = 8
+# Losses per record; the oldest ones are dropped.
+MAX_LOSSES = 16
+# VMs of other regions report one crash at slightly different times, because of
+# the delay of messages and of updates between control VMs.
+SAME_CRASH_WINDOW_S = 0.2
+# A report replaces a known time only if it is earlier by this: messages state
+# ages in whole milliseconds.
+MIN_EARLIER_S = 0.01
+# Clearances per record, by whole answers and by operators.
+MAX_CLEARANCES = 8
 
 
 @dataclass(frozen=True)
 class Loss:
-    """A place that ended while it had a request.
+    """A request that was lost to a crashed process.
 
     Parameters
     ----------
     incarnation : str
-        The incarnation of an upstream, or the process of an entry VM.
+        Incarnation of the upstream or entry VM that crashed.
     at_s : float
-        When it was lost.
+        When the request was lost.
     exposure_s : float
-        Seconds for which it had the request.
+        Seconds for which the process had the request.
     """
 
     incarnation: str
@@ -45,21 +45,21 @@
 
 @dataclass
 class SuspectRecord:
-    """One request, and the places that ended while they had it.
+    """One request and the crashes during which it was lost.
 
     Parameters
     ----------
     organisation : str
-        Whose request it is; empty for nobody's.
+        The organisation that sent the request; empty for none.
     body_bytes : int
-        Length of its body: a request of another length is not compared.
+        Length of its body; requests of other lengths are not compared.
     losses : dict
-        By place.
+        By incarnation.
     clearances : dict
-        Moments, by the name of each, up to which nothing is held against it:
-        a place gave a whole answer, or an operator said so.
+        Times by unique name. Losses up to the latest of them do not count:
+        the request was answered whole, or an operator released it.
     version : int
-        Of the table, when this last changed.
+        Version of the table at the last change of the record.
 
     Examples
     --------
@@ -68,9 +68,12 @@
     True
     >>> record.add_loss(Loss('i-2', at_s=2.0, exposure_s=0.1))
     True
-    >>> record.moments(), record.moments(explained={'i-1'})
+    >>> (
+    ...     record.count_crash_times(),
+    ...     record.count_crash_times(explained_incarnations={'i-1'}),
+    ... )
     (2, 1)
-    >>> record.add_clearance('a-1', at_s=3.0), record.moments()
+    >>> record.add_clearance('a-1', at_s=3.0), record.count_crash_times()
     (True, 0)
     """
 
@@ -82,51 +85,56 @@
     version: int = 0
 
     @property
-    def cleared_s(self) -> float:
-        """Until when nothing is held against it."""
+    def cleared_until_s(self) -> float:
+        """Time up to which losses do not count."""
         return max(self.clearances.values(), default=-inf)
 
-    def held(self) -> list[Loss]:
-        """Return the losses that are held against it, the oldest first."""
-        cleared_s = self.cleared_s
+    def counted_losses(self) -> list[Loss]:
+        """Return the losses after the last clearance, oldest first."""
+        cleared_until_s = self.cleared_until_s
         return sorted(
-            (one for one in self.losses.values() if one.at_s > cleared_s),
-            key=moment,
+            (
+                loss
+                for loss in self.losses.values()
+                if loss.at_s > cleared_until_s
+            ),
+            key=loss_time,
         )
 
     def add_loss(self, loss: Loss) -> bool:
-        """Take a loss; False where it changes nothing.
+        """Add a loss; return False where nothing changes.
 
-        Of two words of one loss the earlier counts. Each process that passes
-        it on makes it look younger by the way of the message; so a loss that
-        goes around among them cannot live for ever.
+        Of two reports of one loss the earlier time is kept. Each process that
+        relays a report makes it look more recent by the delay of the message,
+        so a loss that is relayed in a loop would otherwise never expire.
         """
-        known = self.losses.get(loss.incarnation)
-        if known is not None and known.at_s <= loss.at_s + EARLIER_BY_S:
+        recorded = self.losses.get(loss.incarnation)
+        if recorded is not None and recorded.at_s <= loss.at_s + MIN_EARLIER_S:
             return False
         self.losses[loss.incarnation] = loss
-        if len(self.losses) <= MOST_PLACES:
+        if len(self.losses) <= MAX_LOSSES:
             return True
-        oldest = min(self.losses.values(), key=moment)
+        oldest = min(self.losses.values(), key=loss_time)
         self.losses.pop(oldest.incarnation)
         return oldest is not loss
 
     def add_clearance(self, name: str, at_s: float) -> bool:
-        """Take a moment until which nothing counts; False for nothing new.
+        """Add a time up to which losses do not count; return False if known.
 
-        Of two words of one moment the earlier counts, as with a loss.
+        Of two reports of one clearance the earlier time is kept, as for
+        losses.
         """
-        if self.clearances.get(name, inf) <= at_s + EARLIER_BY_S:
+        if self.clearances.get(name, inf) <= at_s + MIN_EARLIER_S:
             return False
         self.clearances[name] = at_s
-        if len(self.clearances) <= MOST_CLEARANCES:
+        if len(self.clearances) <= MAX_CLEARANCES:
             return True
         oldest = min(self.clearances, key=self.clearances.__getitem__)
         self.clearances.pop(oldest)
         return oldest != name
 
     def join(self, other: 'SuspectRecord') -> bool:
-        """Take all that another process knows; False for nothing new."""
+        """Add all that another process knows; return False if known."""
         changes = list(map(self.add_loss, other.losses.values()))
         changes.extend(
             self.add_clearance(name, at_s)
@@ -134,36 +142,38 @@
         )
         return any(changes)
 
-    def moments(self, explained: Collection[str] = ()) -> int:
-        """Return at how many moments places ended under it.
+    def count_crash_times(
+        self, explained_incarnations: Collection[str] = ()
+    ) -> int:
+        """Return the number of distinct times at which processes crashed.
 
-        Places that end at one moment may share a fault that is not the
-        request's, such as a lost rack.
+        Processes that crash at the same time may share a cause other than the
+        request, such as a failed rack.
 
         Parameters
         ----------
-        explained : collection of str
-            Places that ended under another request.
+        explained_incarnations : collection of str
+            Incarnations whose crashes another request explains.
         """
-        moments = 0
-        counted_s = -inf
-        for loss in self.held():
-            is_new = loss.at_s - counted_s > SAME_MOMENT_S
-            if is_new and loss.incarnation not in explained:
-                moments += 1
-                counted_s = loss.at_s
-        return moments
+        count = 0
+        last_counted_s = -inf
+        for loss in self.counted_losses():
+            is_new = loss.at_s - last_counted_s > SAME_CRASH_WINDOW_S
+            if is_new and loss.incarnation not in explained_incarnations:
+                count += 1
+                last_counted_s = loss.at_s
+        return count
 
     def last_loss_s(self) -> float:
-        """Return when it was lost last, of what is held against it."""
-        return max((loss.at_s for loss in self.held()), default=-inf)
+        """Return the time of the last counted loss."""
+        return max((loss.at_s for loss in self.counted_losses()), default=-inf)
 
-    def exposure_s(self) -> float:
-        """Return the seconds for which places that ended had it, in sum."""
-        return sum(loss.exposure_s for loss in self.held())
+    def total_exposure_s(self) -> float:
+        """Return the sum of exposure over the counted losses."""
+        return sum(loss.exposure_s for loss in self.counted_losses())
 
-    def forget(self, until_s: float) -> bool:
-        """Drop what was until a moment; False where there was nothing."""
+    def expire(self, until_s: float) -> bool:
+        """Drop entries up to a time; return False where there are none."""
         losses = {
             incarnation: loss
             for incarnation, loss in self.losses.items()
@@ -174,17 +184,17 @@
             for name, at_s in self.clearances.items()
             if at_s > until_s
         }
-        known = (len(self.losses), len(self.clearances))
+        sizes = (len(self.losses), len(self.clearances))
         self.losses = losses
         self.clearances = clearances
-        return known != (len(losses), len(clearances))
+        return sizes != (len(losses), len(clearances))
 
     @property
     def is_empty(self) -> bool:
-        """True where nothing speaks for it or against it."""
+        """True where there are neither losses nor clearances."""
         return not self.losses and not self.clearances
 
 
-def moment(loss: Loss) -> float:
-    """Return when something was lost."""
+def loss_time(loss: Loss) -> float:
+    """Return when a request was lost."""
     return loss.at_s
--- a/godwitshunt/quarantine/state.py
+++ b/godwitshunt/quarantine/state.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent, as one process knows it now."""
+"""Quarantine status of requests, as one process knows it."""
 
 import secrets
 from collections.abc import Callable, Iterable, Iterator
@@ -15,23 +15,24 @@
 )
 from godwitshunt.telemetry import Metrics, log_change
 
-# Losses are remembered for this many times the length of a quarantine: what
-# crashes one more upstream after its end is kept back again at once.
-REMEMBERED_TIMES = 4
+# Losses are retained for this many times the length of a quarantine. A request
+# that crashes another upstream after its quarantine is quarantined again at
+# once.
+RETENTION_FACTOR = 4
 QUARANTINE_S = 900.0
 SESSION_BYTES = 4
 
 
 def draw_session() -> str:
-    """Return a name for this process's clearances."""
+    """Return a random name for this process's clearances."""
     return secrets.token_hex(SESSION_BYTES)
 
 
 class QuarantineStatus(Enum):
-    """What is held against a request.
+    """Quarantine status of a request.
 
-    `clear`: nothing that matters. `suspected`: upstreams ended under it, and
-    it is not known whether by it. `on_probation`: its quarantine is over, it
+    `clear`: not suspected. `suspected`: upstreams crashed under it, but it is
+    not confirmed as the cause. `on_probation`: its quarantine has ended and it
     may be tried once. `quarantined`: it is not sent.
     """
 
@@ -43,12 +44,12 @@
 
 @dataclass(frozen=True)
 class Assessment:
-    """A standing with its reasons.
+    """The status of a request and the reasons for it.
 
     Parameters
     ----------
     incarnations : tuple of str
-        Those that ended under the request.
+        Incarnations that crashed under the request.
     wait_s : float
         Seconds until the end of its quarantine.
     """
@@ -59,7 +60,7 @@
 
     @property
     def reason(self) -> str:
-        """What is told to callers and in logs."""
+        """Reason for callers and logs."""
         return f'{self.status.value}: lost to {", ".join(self.incarnations)}'
 
 
@@ -68,26 +69,26 @@
 
 @dataclass
 class Quarantine:
-    """Keeps back requests under which upstreams end, one after the other.
+    """Quarantines requests under which upstreams crash one after the other.
 
     Parameters
     ----------
     length_s : float
-        Seconds from the last end of an upstream to the end of a quarantine.
+        Seconds from the last crash to the end of a quarantine.
     now : callable
         Returns monotonic seconds.
     metrics : Metrics
-        Counts losses, and tells how many requests are kept back.
+        Counts losses and quarantined requests.
     table : SuspectTable
-        What this process has seen and was told.
+        All that this process knows.
     own : SuspectTable
-        What it has seen itself, for telling others.
-    told : dict
-        Standings that were logged, but for clear ones.
+        What this process observed itself, for reports to others.
+    logged : dict
+        Last logged status of each request that is not clear.
     probing : set
-        Requests on probation that are under way.
+        Requests on probation that are in flight.
     session : str
-        Names this process's clearances.
+        Prefix of the names of this process's clearances.
     """
 
     length_s: float
@@ -95,45 +96,45 @@
     metrics: Metrics
     table: SuspectTable = field(default_factory=SuspectTable)
     own: SuspectTable = field(default_factory=SuspectTable)
-    told: dict[Fingerprint, QuarantineStatus] = field(default_factory=dict)
-    told_version: int = 0
+    logged: dict[Fingerprint, QuarantineStatus] = field(default_factory=dict)
+    logged_version: int = 0
     probing: set[Fingerprint] = field(default_factory=set)
     session: str = field(default_factory=draw_session)
-    numbers: Iterator[int] = field(default_factory=count)
+    clearance_numbers: Iterator[int] = field(default_factory=count)
 
     def record_loss(self, lost: LostRequest) -> None:
-        """Take a loss that was seen here."""
+        """Record a loss that this process observed."""
         self.own.record_loss(lost)
         if self.table.record_loss(lost):
             self.metrics.count('quarantine_losses_total')
-            self.tell_changes()
+            self.log_changes()
 
-    def join(self, told: Iterable[SuspectRecord]) -> None:
-        """Take what another process knows."""
-        if self.table.join(told):
-            self.tell_changes()
+    def join(self, records: Iterable[SuspectRecord]) -> None:
+        """Add what another process knows."""
+        if self.table.join(records):
+            self.log_changes()
 
     def clear(self, fingerprint: Fingerprint) -> bool:
-        """Hold nothing against a request: it was answered whole, or pardoned.
+        """Clear a request that was answered whole or released by an operator.
 
         Returns
         -------
         bool
-            False where nothing was held against it.
+            False where it had no counted losses.
         """
         now_s = self.now()
-        name = f'{self.session}-{next(self.numbers)}'
+        name = f'{self.session}-{next(self.clearance_numbers)}'
         if not self.table.clear(fingerprint, name, now_s):
             return False
         record = self.table.records[fingerprint]
-        said = replace(record, losses={}, clearances={name: now_s})
-        self.own.join((said,))
-        self.tell_changes()
+        clearance = replace(record, losses={}, clearances={name: now_s})
+        self.own.join((clearance,))
+        self.log_changes()
         return True
 
-    def knows_length(self, body_bytes: int) -> bool:
-        """Tell whether a request of a length may be a suspected one."""
-        return self.table.knows_length(body_bytes)
+    def has_suspected_length(self, body_bytes: int) -> bool:
+        """Tell whether any suspected request has a body of a length."""
+        return self.table.has_suspected_length(body_bytes)
 
     def assessment(
         self,
@@ -141,17 +142,19 @@
         *,
         is_probe: bool = False,
     ) -> Assessment:
-        """Return what is held against a request now.
+        """Return the current assessment of a request.
 
         Parameters
         ----------
         is_probe : bool
-            True for the one that is tried on probation.
+            True for the request that is tried on probation.
         """
         record = self.table.records.get(fingerprint)
         if record is None:
             return CLEAR
-        incarnations = tuple(one.incarnation for one in record.held())
+        incarnations = tuple(
+            loss.incarnation for loss in record.counted_losses()
+        )
         if fingerprint not in self.table.confirmed():
             if len(incarnations) < SUSPECTED_CRASHES:
                 return CLEAR
@@ -168,50 +171,50 @@
         return Assessment(QuarantineStatus.on_probation, incarnations)
 
     def begin_probe(self, fingerprint: Fingerprint) -> None:
-        """Try a request on probation; others like it wait for its end."""
+        """Start to try a request on probation; its repeats wait."""
         self.probing.add(fingerprint)
         log_change('quarantine:probe_began', fingerprint=str(fingerprint))
 
     def end_probe(self, fingerprint: Fingerprint) -> None:
-        """Note that a request on probation has ended."""
+        """Record that a request on probation has ended."""
         self.probing.discard(fingerprint)
 
     def describe(self) -> list[dict[str, object]]:
-        """Return what is held against requests, for operators."""
+        """Return all requests that are not clear, for operators."""
         return [
             {
                 'fingerprint': str(fingerprint),
                 'standing': status.value,
                 **self.evidence(fingerprint),
             }
-            for fingerprint, status in self.told.items()
+            for fingerprint, status in self.logged.items()
         ]
 
     def tick(self) -> None:
-        """Forget what was long ago."""
-        until_s = self.now() - REMEMBERED_TIMES * self.length_s
+        """Expire old entries, log changes and update metrics."""
+        until_s = self.now() - RETENTION_FACTOR * self.length_s
         for table in (self.table, self.own):
-            table.forget(until_s)
-        self.tell_changes()
+            table.expire(until_s)
+        self.log_changes()
         self.metrics.gauge('quarantine_requests', len(self.table.confirmed()))
 
-    def tell_changes(self) -> None:
-        """Log each change of what is held against a request."""
-        changed = self.table.since(self.told_version)
-        self.told_version = self.table.version
-        names = {one.fingerprint for one in changed} | self.told.keys()
+    def log_changes(self) -> None:
+        """Log each change of status since the last call."""
+        changed = self.table.since(self.logged_version)
+        self.logged_version = self.table.version
+        names = {record.fingerprint for record in changed} | self.logged.keys()
         for fingerprint in names:
-            self.tell_change(fingerprint)
+            self.log_status_change(fingerprint)
 
-    def tell_change(self, fingerprint: Fingerprint) -> None:
-        """Log a change of what is held against one request."""
+    def log_status_change(self, fingerprint: Fingerprint) -> None:
+        """Log a change of status of one request."""
         assessment = self.assessment(fingerprint)
-        before = self.told.get(fingerprint, QuarantineStatus.clear)
+        before = self.logged.get(fingerprint, QuarantineStatus.clear)
         if assessment.status is before:
             return
-        self.told[fingerprint] = assessment.status
+        self.logged[fingerprint] = assessment.status
         if assessment.status is QuarantineStatus.clear:
-            self.told.pop(fingerprint)
+            self.logged.pop(fingerprint)
         log_change(
             'quarantine:standing_changed',
             fingerprint=str(fingerprint),
@@ -221,16 +224,16 @@
         )
 
     def evidence(self, fingerprint: Fingerprint) -> dict[str, object]:
-        """Return what speaks for and against a request, for logs."""
+        """Return the counted losses of a request, for logs."""
         record = self.table.records.get(fingerprint)
         if record is None:
             return {'losses': []}
         now_s = self.now()
         return {
             'losses': [
-                f'{one.incarnation} {now_s - one.at_s:.2f}s ago '
-                f'after {one.exposure_s:.3f}s'
-                for one in record.held()
+                f'{loss.incarnation} {now_s - loss.at_s:.2f}s ago '
+                f'after {loss.exposure_s:.3f}s'
+                for loss in record.counted_losses()
             ],
             'body_bytes': record.body_bytes,
             'organisation': record.organisation,
--- a/godwitshunt/quarantine/table.py
+++ b/godwitshunt/quarantine/table.py
@@ -1,4 +1,4 @@
-"""All requests that were lost to upstreams of late, bounded; pure."""
+"""A bounded table of the requests that were lost recently."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -7,20 +7,20 @@
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import Loss, SuspectRecord
 
-# Requests that are remembered. An engine that ends takes up to its slots of
-# requests with it; this holds twenty such ends of 48.
-MOST_RECORDS = 1024
-# Losses from which on a request is told to entry VMs, which take note of its
-# answers from then on.
+# A crashed engine loses as many requests as it has slots; this holds twenty
+# crashes of engines with 48 slots.
+MAX_RECORDS = 1024
+# Crashes from which on entry VMs are told of a request and report its whole
+# answers.
 SUSPECTED_CRASHES = 2
-# Records that one message tells, at most; the rest come with the next one.
-MOST_TOLD = 256
-NEVER_JUDGED = -1
+# Records per message; the others are sent with the next one.
+MAX_DELTA_RECORDS = 256
+NEVER_EVALUATED = -1
 
 
 @dataclass(frozen=True)
 class LostRequest:
-    """A request that was lost to a place, as one VM saw it."""
+    """A request that one VM observed to be lost."""
 
     fingerprint: Fingerprint
     organisation: str
@@ -30,12 +30,13 @@
 
 @dataclass(frozen=True)
 class SuspectUpdate:
-    """What is new in a table.
+    """Changed records of a table.
 
     Parameters
     ----------
     version : int or None
-        That whoever hears it holds from then on; None where nobody asked.
+        Version that the receiver has with this update; None where none was
+        requested.
     """
 
     records: tuple[SuspectRecord, ...]
@@ -44,35 +45,35 @@
 
 @dataclass
 class SuspectTable:
-    """Requests that were lost, and which of them crash upstreams.
+    """Lost requests, and which of them are confirmed to crash upstreams.
 
     Parameters
     ----------
-    most : int
-        Records that it holds.
+    max_records : int
+        Maximum number of records.
 
     Examples
     --------
     >>> table = SuspectTable()
-    >>> lethal = Fingerprint(bytes(16))
+    >>> crashing = Fingerprint(bytes(16))
     >>> for number in range(3):
     ...     loss = Loss(f'i-{number}', float(number), 0.1)
-    ...     _ = table.record_loss(LostRequest(lethal, '', 5, loss))
-    >>> lethal in table.confirmed()
+    ...     _ = table.record_loss(LostRequest(crashing, '', 5, loss))
+    >>> crashing in table.confirmed()
     True
-    >>> table.knows_length(5), table.knows_length(6)
+    >>> table.has_suspected_length(5), table.has_suspected_length(6)
     (True, False)
     """
 
-    most: int = MOST_RECORDS
+    max_records: int = MAX_RECORDS
     records: dict[Fingerprint, SuspectRecord] = field(default_factory=dict)
     version: int = 0
-    judged_version: int = NEVER_JUDGED
-    judged: dict[Fingerprint, int] = field(default_factory=dict)
-    lengths: frozenset[int] = frozenset()
+    evaluated_version: int = NEVER_EVALUATED
+    confirmed_crashes: dict[Fingerprint, int] = field(default_factory=dict)
+    suspected_lengths: frozenset[int] = frozenset()
 
     def record_loss(self, lost: LostRequest) -> bool:
-        """Take a loss that was seen here; False where it is known."""
+        """Record a loss observed here; return False if it is known."""
         record = self.records.get(lost.fingerprint) or SuspectRecord(
             lost.fingerprint,
             lost.organisation,
@@ -80,8 +81,8 @@
         )
         if not record.add_loss(lost.loss):
             return False
-        self.keep(record)
-        self.trim()
+        self.store(record)
+        self.evict()
         return True
 
     def clear(
@@ -90,158 +91,157 @@
         name: str,
         at_s: float,
     ) -> bool:
-        """Hold nothing until a moment against a request.
+        """Clear the losses of a request up to a time.
 
         Parameters
         ----------
         name : str
-            Names this moment among all processes.
+            Name of the clearance, unique among all processes.
 
         Returns
         -------
         bool
-            False where nothing was held against it.
+            False where it had no counted losses.
         """
         record = self.records.get(fingerprint)
-        if record is None or not record.held():
+        if record is None or not record.counted_losses():
             return False
         record.add_clearance(name, at_s)
-        self.keep(record)
+        self.store(record)
         return True
 
-    def join(self, told: Iterable[SuspectRecord]) -> bool:
-        """Take what another process knows; False for nothing new."""
-        changes = [self.join_one(one) for one in told]
-        self.trim()
+    def join(self, records: Iterable[SuspectRecord]) -> bool:
+        """Add what another process knows; return False if known."""
+        changes = [self.join_record(record) for record in records]
+        self.evict()
         return any(changes)
 
-    def join_one(self, told: SuspectRecord) -> bool:
-        """Take what another process knows of one request."""
-        record = self.records.get(told.fingerprint) or SuspectRecord(
-            told.fingerprint,
-            told.organisation,
-            told.body_bytes,
+    def join_record(self, other: SuspectRecord) -> bool:
+        """Add what another process knows of one request."""
+        record = self.records.get(other.fingerprint) or SuspectRecord(
+            other.fingerprint,
+            other.organisation,
+            other.body_bytes,
         )
-        if not record.join(told):
+        if not record.join(other):
             return False
-        self.keep(record)
+        self.store(record)
         return True
 
-    def keep(self, record: SuspectRecord) -> None:
-        """Note that a record has changed."""
+    def store(self, record: SuspectRecord) -> None:
+        """Store a changed record under a new version."""
         self.version += 1
         record.version = self.version
         self.records[record.fingerprint] = record
 
-    def trim(self) -> None:
+    def evict(self) -> None:
         """Drop records beyond the bound.
 
-        Each organisation has an equal share, and what others leave of theirs:
-        nobody can push out what others' requests have shown by sending many.
-        What yields has the least against it.
+        The bound is shared fairly between organisations, so that none can
+        evict the records of others by sending many requests. The records with
+        the least evidence are evicted first.
         """
-        if len(self.records) <= self.most:
+        if len(self.records) <= self.max_records:
             return
-        owned: dict[str, list[SuspectRecord]] = {}
+        by_organisation: dict[str, list[SuspectRecord]] = {}
         for record in self.records.values():
-            owned.setdefault(record.organisation, []).append(record)
-        share = fair_share(map(len, owned.values()), self.most)
-        for records in owned.values():
-            records.sort(key=need, reverse=True)
+            by_organisation.setdefault(record.organisation, []).append(record)
+        share = fair_share(map(len, by_organisation.values()), self.max_records)
+        for records in by_organisation.values():
+            records.sort(key=eviction_key, reverse=True)
             for record in records[share:]:
                 self.records.pop(record.fingerprint)
 
     def since(
         self,
         version: int,
-        least_losses: int = 0,
+        min_losses: int = 0,
     ) -> tuple[SuspectRecord, ...]:
         """Return the records that changed after a version.
 
         Parameters
         ----------
-        least_losses : int
-            Those that were lost less often are left out, but for those that
-            were cleared.
+        min_losses : int
+            Records with fewer losses are omitted unless they were cleared.
         """
         return tuple(
-            one
-            for one in self.records.values()
-            if one.version > version
-            and (len(one.losses) >= least_losses or one.clearances)
+            record
+            for record in self.records.values()
+            if record.version > version
+            and (len(record.losses) >= min_losses or record.clearances)
         )
 
-    def delta(self, version: int, least_losses: int = 0) -> SuspectUpdate:
-        """Return what one message tells of the records after a version."""
+    def delta(self, version: int, min_losses: int = 0) -> SuspectUpdate:
+        """Return one message's worth of the changes after a version."""
         if version >= self.version:
             return SuspectUpdate((), self.version)
         records = sorted(
-            self.since(version, least_losses),
-            key=lambda one: one.version,
+            self.since(version, min_losses),
+            key=lambda record: record.version,
         )
-        if len(records) <= MOST_TOLD:
+        if len(records) <= MAX_DELTA_RECORDS:
             return SuspectUpdate(tuple(records), self.version)
-        told = tuple(records[:MOST_TOLD])
-        return SuspectUpdate(told, told[-1].version)
+        first = tuple(records[:MAX_DELTA_RECORDS])
+        return SuspectUpdate(first, first[-1].version)
 
     def has_losses(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a request was lost before."""
+        """Tell whether a request has counted losses."""
         record = self.records.get(fingerprint)
-        return record is not None and bool(record.held())
+        return record is not None and bool(record.counted_losses())
 
-    def knows_length(self, body_bytes: int) -> bool:
-        """Tell whether a suspected request has a body of a length."""
-        self.judge()
-        return body_bytes in self.lengths
+    def has_suspected_length(self, body_bytes: int) -> bool:
+        """Tell whether any suspected request has a body of a length."""
+        self.evaluate()
+        return body_bytes in self.suspected_lengths
 
     def confirmed(self) -> dict[Fingerprint, int]:
-        """Return the requests that crash upstreams, with their ends."""
-        self.judge()
-        return self.judged
+        """Return the confirmed requests with their numbers of crashes."""
+        self.evaluate()
+        return self.confirmed_crashes
 
-    def judge(self) -> None:
-        """Judge anew where something has changed."""
-        if self.judged_version == self.version:
+    def evaluate(self) -> None:
+        """Update the confirmed requests where records have changed."""
+        if self.evaluated_version == self.version:
             return
-        self.judged_version = self.version
-        self.judged = find_confirmed(self.records.values())
-        self.lengths = frozenset(
-            one.body_bytes
-            for one in self.records.values()
-            if len(one.held()) >= SUSPECTED_CRASHES
+        self.evaluated_version = self.version
+        self.confirmed_crashes = find_confirmed(self.records.values())
+        self.suspected_lengths = frozenset(
+            record.body_bytes
+            for record in self.records.values()
+            if len(record.counted_losses()) >= SUSPECTED_CRASHES
         )
 
-    def forget(self, until_s: float) -> None:
-        """Drop what was until a moment, and records without anything."""
+    def expire(self, until_s: float) -> None:
+        """Drop entries up to a time, and empty records."""
         changed = [
-            record for record in self.records.values() if record.forget(until_s)
+            record for record in self.records.values() if record.expire(until_s)
         ]
         for record in changed:
-            self.judged_version = NEVER_JUDGED
+            self.evaluated_version = NEVER_EVALUATED
             if record.is_empty:
                 self.records.pop(record.fingerprint)
 
 
-def need(record: SuspectRecord) -> tuple[int, float]:
-    """Return a key that sorts what may be forgotten first."""
-    return (len(record.held()), record.last_loss_s())
+def eviction_key(record: SuspectRecord) -> tuple[int, float]:
+    """Return a sort key that is smallest for the first to be evicted."""
+    return (len(record.counted_losses()), record.last_loss_s())
 
 
 def fair_share(sizes: Iterable[int], total: int) -> int:
-    """Return how much each of several may have of a total.
+    """Return the max-min fair share of a total.
 
-    Who wants less than an equal share leaves the rest to the others.
+    What small demands leave of an equal share is split among the others.
 
     Examples
     --------
     >>> fair_share([2, 50, 80], total=60), fair_share([100], total=60)
     (29, 60)
     """
-    listed = sorted(sizes)
-    left = total
-    for incarnation, size in enumerate(listed):
-        share = left // (len(listed) - incarnation)
+    ascending = sorted(sizes)
+    remaining = total
+    for position, size in enumerate(ascending):
+        share = remaining // (len(ascending) - position)
         if size > share:
             return share
-        left -= size
+        remaining -= size
     return total
--- a/godwitshunt/quarantine/tests/test_joining.py
+++ b/godwitshunt/quarantine/tests/test_joining.py
@@ -77,8 +77,8 @@
 def test_losses_told_to_and_fro_come_to_an_end():
     """A loss that looks younger with each way, and lives for ever."""
     first, second = SuspectTable(), SuspectTable()
-    lethal = Fingerprint(bytes(16))
-    first.record_loss(LostRequest(lethal, '', 5, Loss('i-1', 10.0, 0.1)))
+    crashing = Fingerprint(bytes(16))
+    first.record_loss(LostRequest(crashing, '', 5, Loss('i-1', 10.0, 0.1)))
     now_s = 10.0
     for _ in range(100):
         for one, other in ((first, second), (second, first)):
@@ -86,10 +86,10 @@
             now_s += 0.05
             other.join(suspects_from_wire(told, now_s))
     assert now_s == pytest.approx(20.0)
-    oldest_s = first.records[lethal].losses['i-1'].at_s
+    oldest_s = first.records[crashing].losses['i-1'].at_s
     assert oldest_s == pytest.approx(10.0)
     for table in (first, second):
-        table.forget(12.0)
+        table.expire(12.0)
         assert not table.records
 
 
@@ -112,7 +112,7 @@
 
 def test_table_that_is_full_takes_a_whole_message_at_once():
     """A control VM that stands still while many requests are told to it."""
-    table = SuspectTable(most=100)
+    table = SuspectTable(max_records=100)
     for number in range(100):
         name = Fingerprint(number.to_bytes(16, 'big'))
         table.record_loss(LostRequest(name, 'o-1', 5, Loss('i-1', 1.0, 0.1)))
--- a/godwitshunt/quarantine/tests/test_state.py
+++ b/godwitshunt/quarantine/tests/test_state.py
@@ -11,7 +11,7 @@
 )
 from godwitshunt.telemetry import Metrics
 
-LETHAL = Fingerprint(bytes(16))
+CRASHING = Fingerprint(bytes(16))
 LENGTH_S = 100.0
 
 
@@ -44,12 +44,12 @@
 def lose(quarantine, incarnation):
     """Let an upstream end under the request."""
     loss = Loss(incarnation, quarantine.now(), 0.1)
-    quarantine.record_loss(LostRequest(LETHAL, '', 5, loss))
+    quarantine.record_loss(LostRequest(CRASHING, '', 5, loss))
 
 
 def status(quarantine, **fields):
     """Return what is held against the request."""
-    return quarantine.assessment(LETHAL, **fields).status
+    return quarantine.assessment(CRASHING, **fields).status
 
 
 def test_quarantine_ends_and_begins_again_with_one_more_end(
@@ -58,7 +58,7 @@
 ):
     """A request that ends three more upstreams after each quarantine."""
     assert status(quarantine) is QuarantineStatus.quarantined
-    assert quarantine.assessment(LETHAL).wait_s == LENGTH_S
+    assert quarantine.assessment(CRASHING).wait_s == LENGTH_S
     clock.now_s = LENGTH_S + 1
     quarantine.tick()
     assert status(quarantine) is QuarantineStatus.on_probation
@@ -69,19 +69,19 @@
 def test_one_at_a_time_is_tried_on_probation(clock, quarantine):
     """Many repeats that are let through at the end of a quarantine."""
     clock.now_s = LENGTH_S + 1
-    quarantine.begin_probe(LETHAL)
+    quarantine.begin_probe(CRASHING)
     assert status(quarantine) is QuarantineStatus.quarantined
     assert status(quarantine, is_probe=True) is QuarantineStatus.on_probation
-    quarantine.end_probe(LETHAL)
+    quarantine.end_probe(CRASHING)
     assert status(quarantine) is QuarantineStatus.on_probation
 
 
 def test_whole_answer_or_pardon_ends_a_quarantine(clock, quarantine):
     """A request that is kept back though its cause was mended."""
     clock.now_s += 1.0
-    assert quarantine.clear(LETHAL)
+    assert quarantine.clear(CRASHING)
     assert status(quarantine) is QuarantineStatus.clear
-    assert not quarantine.clear(LETHAL)
+    assert not quarantine.clear(CRASHING)
     others = Quarantine(LENGTH_S, clock, Metrics())
     others.join(quarantine.own.since(0))
     assert status(others) is QuarantineStatus.clear
@@ -94,10 +94,10 @@
     assert status(quarantine) is QuarantineStatus.clear
     assert not quarantine.table.records
     assert not quarantine.own.records
-    assert not quarantine.told
+    assert not quarantine.logged
 
 
 def test_nothing_is_asked_of_requests_of_other_lengths(quarantine):
     """Bodies that are hashed though no suspected one has their length."""
-    assert quarantine.knows_length(5)
-    assert not quarantine.knows_length(6)
+    assert quarantine.has_suspected_length(5)
+    assert not quarantine.has_suspected_length(6)
--- a/godwitshunt/quarantine/tests/test_stateful.py
+++ b/godwitshunt/quarantine/tests/test_stateful.py
@@ -15,7 +15,7 @@
     Quarantine,
     QuarantineStatus,
 )
-from godwitshunt.quarantine.records import SAME_MOMENT_S
+from godwitshunt.quarantine.records import SAME_CRASH_WINDOW_S
 from godwitshunt.registry.suspect_wire import (
     suspects_from_wire,
     suspects_to_wire,
@@ -23,7 +23,7 @@
 from godwitshunt.telemetry import Metrics
 
 PROCESSES = 3
-LETHAL, POPULAR = (Fingerprint(bytes((one,)) * 16) for one in (1, 2))
+CRASHING, POPULAR = (Fingerprint(bytes((one,)) * 16) for one in (1, 2))
 LENGTH_S = 1000.0
 WAY_S = 0.05
 
@@ -64,7 +64,7 @@
     def lose_both(self, process, at_s):
         """Lose both requests to one more place, as one process sees it."""
         self.incarnations += 1
-        for fingerprint, exposure_s in ((LETHAL, 0.1), (POPULAR, 0.5)):
+        for fingerprint, exposure_s in ((CRASHING, 0.1), (POPULAR, 0.5)):
             loss = Loss(f'i-{self.incarnations}', at_s, exposure_s)
             lost = LostRequest(fingerprint, '', 5, loss)
             self.quarantines[process].record_loss(lost)
@@ -79,8 +79,8 @@
     @rule(teller=processes, hearer=processes)
     def tell(self, teller, hearer):
         """Let one process hear what is new at another one."""
-        held = self.heard.get((teller, hearer), 0)
-        delta = self.quarantines[teller].table.delta(held)
+        counted_losses = self.heard.get((teller, hearer), 0)
+        delta = self.quarantines[teller].table.delta(counted_losses)
         told = suspects_to_wire(delta.records, self.now_s)
         self.now_s += WAY_S
         records = suspects_from_wire(told, self.now_s)
@@ -96,21 +96,21 @@
             if process in pair:
                 self.heard.pop(pair)
 
-    def moments(self) -> int:
+    def count_crash_times(self) -> int:
         """Return at how many moments places ended."""
-        moments = 0
-        counted_s = float('-inf')
+        count_crash_times = 0
+        last_counted_s = float('-inf')
         for at_s in self.lethal_ends:
-            if at_s - counted_s > SAME_MOMENT_S:
-                moments += 1
-                counted_s = at_s
-        return moments
+            if at_s - last_counted_s > SAME_CRASH_WINDOW_S:
+                count_crash_times += 1
+                last_counted_s = at_s
+        return count_crash_times
 
     def may_be_guilty(self) -> bool:
         """Tell whether enough places ended at enough moments."""
         if self.incarnations < CONFIRMED_CRASHES:
             return False
-        return self.moments() >= CONFIRMED_CRASH_TIMES
+        return self.count_crash_times() >= CONFIRMED_CRASH_TIMES
 
     @invariant()
     def nobody_is_held_guilty_by_fewer_ends(self):
@@ -124,7 +124,7 @@
         """Whoever saw a whole answer a moment ago keeps nothing back."""
         for one in self.quarantines:
             record = one.table.records.get(POPULAR)
-            if record is not None and record.cleared_s == self.now_s:
+            if record is not None and record.cleared_until_s == self.now_s:
                 assert one.assessment(POPULAR).status is QuarantineStatus.clear
 
     def teardown(self):
@@ -135,7 +135,7 @@
         confirmed = [set(one.table.confirmed()) for one in self.quarantines]
         assert all(one == confirmed[0] for one in confirmed)
         if self.may_be_guilty() and not self.restarts:
-            assert LETHAL in confirmed[0]
+            assert CRASHING in confirmed[0]
         told = [one.table.version for one in self.quarantines]
         for teller, hearer in permutations(range(PROCESSES), 2):
             self.tell(teller, hearer)
