--- a/godwitshunt/quarantine/__init__.py
+++ b/godwitshunt/quarantine/__init__.py
@@ -6,11 +6,6 @@
 it performs no I/O.
 """
 
-from godwitshunt.quarantine.crash_causes import (
-    CONFIRMED_CRASH_TIMES,
-    CONFIRMED_CRASHES,
-    find_confirmed,
-)
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import Loss, SuspectRecord
 from godwitshunt.quarantine.state import (
@@ -25,6 +20,11 @@
     SuspectTable,
     SuspectUpdate,
 )
+from godwitshunt.quarantine.verdicts import (
+    CONFIRMED_CRASH_TIMES,
+    CONFIRMED_CRASHES,
+    find_confirmed,
+)
 
 __all__ = [
     'Fingerprint',
--- a/godwitshunt/quarantine/table.py
+++ b/godwitshunt/quarantine/table.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from godwitshunt.quarantine.crash_causes import find_confirmed
 from godwitshunt.quarantine.fingerprint import Fingerprint
 from godwitshunt.quarantine.records import Loss, SuspectRecord
+from godwitshunt.quarantine.verdicts import find_confirmed
 
 # A crashed engine loses as many requests as it has slots; this holds twenty
 # crashes of engines with 48 slots.
--- a/godwitshunt/quarantine/tests/test_fingerprint.py
+++ b/godwitshunt/quarantine/tests/test_fingerprint.py
@@ -1,10 +1,10 @@
-"""What makes two requests the same."""
+"""Which requests have equal fingerprints."""
 
 import pytest
 
 from godwitshunt.quarantine import Fingerprint
 
-ASKED = {
+PARTS = {
     'method': 'POST',
     'host': b'a.example',
     'target': b'/x/?q=1',
@@ -26,8 +26,8 @@
         ({'target': b'/x/?q=1h', 'body': b'ello'}, False),
     ],
 )
-def test_repeat_is_known_by_content_alone(change, is_same):
-    """A repeat with an id of its own that is taken for a new request."""
-    first = Fingerprint.from_parts(**ASKED)
-    second = Fingerprint.from_parts(**{**ASKED, **change})
+def test_repeat_is_recognised_by_content_alone(change, is_same):
+    """A repeat has a new id and must not be taken for a new request."""
+    first = Fingerprint.from_parts(**PARTS)
+    second = Fingerprint.from_parts(**{**PARTS, **change})
     assert (first == second) is is_same
--- a/godwitshunt/quarantine/tests/test_joining.py
+++ b/godwitshunt/quarantine/tests/test_joining.py
@@ -1,4 +1,4 @@
-"""Processes that heard the same believe the same, in whatever order."""
+"""Processes that received the same records agree, in whatever order."""
 
 from collections import Counter
 from random import Random
@@ -36,37 +36,37 @@
 )
 
 
-def shown(table: SuspectTable) -> dict:
-    """Return all that a table holds."""
+def contents(table: SuspectTable) -> dict:
+    """Return the contents of a table, without its versions."""
     return {
-        name: (dict(one.losses), dict(one.clearances))
-        for name, one in table.records.items()
-        if one.losses
+        name: (dict(record.losses), dict(record.clearances))
+        for name, record in table.records.items()
+        if record.losses
     }
 
 
-@given(told=st.lists(losses, max_size=20), seed=st.integers(0, 99))
-def test_order_and_repetition_of_news_make_no_difference(told, seed):
-    """Two processes of which one keeps a request back, and one does not."""
+@given(observed=st.lists(losses, max_size=20), seed=st.integers(0, 99))
+def test_order_and_repetition_of_losses_do_not_matter(observed, seed):
+    """Otherwise one process quarantines a request that another one sends."""
     first, second = SuspectTable(), SuspectTable()
-    for one in told:
-        first.record_loss(one)
-    shuffled = [*told, *told]
+    for loss in observed:
+        first.record_loss(loss)
+    shuffled = [*observed, *observed]
     Random(seed).shuffle(shuffled)
-    for one in shuffled:
-        second.record_loss(one)
+    for loss in shuffled:
+        second.record_loss(loss)
     second.join(first.since(0))
     first.join(second.since(0))
-    assert shown(first) == shown(second)
+    assert contents(first) == contents(second)
     assert first.confirmed() == second.confirmed()
 
 
-@given(told=st.lists(losses, max_size=20))
-def test_news_that_is_known_is_not_told_on(told):
-    """Two processes that tell one another the same for ever."""
+@given(observed=st.lists(losses, max_size=20))
+def test_known_records_are_not_sent_again(observed):
+    """Otherwise two processes send each other the same records forever."""
     first, second = SuspectTable(), SuspectTable()
-    for one in told:
-        first.record_loss(one)
+    for loss in observed:
+        first.record_loss(loss)
     second.join(first.since(0))
     assert not first.join(second.since(0))
     version = second.version
@@ -74,17 +74,17 @@
     assert second.version == version
 
 
-def test_losses_told_to_and_fro_come_to_an_end():
-    """A loss that looks younger with each way, and lives for ever."""
+def test_losses_exchanged_repeatedly_expire():
+    """A loss must not look more recent with each message and never expire."""
     first, second = SuspectTable(), SuspectTable()
     crashing = Fingerprint(bytes(16))
     first.record_loss(LostRequest(crashing, '', 5, Loss('i-1', 10.0, 0.1)))
     now_s = 10.0
     for _ in range(100):
-        for one, other in ((first, second), (second, first)):
-            told = suspects_to_wire(one.since(0), now_s)
+        for source, target in ((first, second), (second, first)):
+            message = suspects_to_wire(source.since(0), now_s)
             now_s += 0.05
-            other.join(suspects_from_wire(told, now_s))
+            target.join(suspects_from_wire(message, now_s))
     assert now_s == pytest.approx(20.0)
     oldest_s = first.records[crashing].losses['i-1'].at_s
     assert oldest_s == pytest.approx(10.0)
@@ -93,9 +93,9 @@
         assert not table.records
 
 
-def test_one_message_tells_a_bounded_part():
-    """A message too long for the links, after many upstreams ended at once."""
-    table, heard = SuspectTable(), SuspectTable()
+def test_size_of_one_message_is_bounded():
+    """Many crashes at once must not lead to too long a message."""
+    table, receiver = SuspectTable(), SuspectTable()
     for number in range(700):
         name = Fingerprint(number.to_bytes(16, 'big'))
         table.record_loss(LostRequest(name, '', 5, Loss('i-1', 1.0, 0.1)))
@@ -103,15 +103,18 @@
     while version < table.version:
         delta = table.delta(version)
         assert len(delta.records) <= 256
-        heard.join(delta.records)
+        receiver.join(delta.records)
         version = delta.version
         rounds += 1
     assert rounds == 3
-    assert heard.records.keys() == table.records.keys()
+    assert receiver.records.keys() == table.records.keys()
 
 
-def test_table_that_is_full_takes_a_whole_message_at_once():
-    """A control VM that stands still while many requests are told to it."""
+def test_full_table_joins_a_whole_message_at_once():
+    """A control VM must not be blocked while a full table takes many records.
+
+    Each organisation keeps its equal share.
+    """
     table = SuspectTable(max_records=100)
     for number in range(100):
         name = Fingerprint(number.to_bytes(16, 'big'))
@@ -124,8 +127,8 @@
             LostRequest(name, organisation, 5, Loss('i-1', 2.0, 0.1))
         )
     table.join(other.since(0))
-    owners = Counter(one.organisation for one in table.records.values())
-    assert owners == {'o-1': 33, 'o-2': 33, 'o-3': 33}
+    counts = Counter(record.organisation for record in table.records.values())
+    assert counts == {'o-1': 33, 'o-2': 33, 'o-3': 33}
 
 
 @pytest.mark.parametrize(
@@ -138,14 +141,14 @@
         {'body_bytes': None},
     ],
 )
-def test_malformed_news_is_refused(change):
-    """A reader that ends by the news of a request that ends upstreams."""
+def test_malformed_record_is_refused(change):
+    """A malformed record must not end the process that reads it."""
     fields = {
         'fingerprint': bytes(16),
         'organisation': '',
         'body_bytes': 5,
         'losses': [ttypes.PlaceLost('i-1', 10, 1)],
     }
-    told = ttypes.SuspectInfo(**{**fields, **change})
+    suspect = ttypes.SuspectInfo(**{**fields, **change})
     with pytest.raises(FrameError):
-        suspects_from_wire([told], now_s=1.0)
+        suspects_from_wire([suspect], now_s=1.0)
--- a/godwitshunt/quarantine/tests/test_state.py
+++ b/godwitshunt/quarantine/tests/test_state.py
@@ -1,4 +1,4 @@
-"""How long a request is kept back, and what lets it go."""
+"""Duration and end of a quarantine."""
 
 import pytest
 
@@ -33,30 +33,30 @@
 
 @pytest.fixture
 def quarantine(clock):
-    """Return a quarantine with one request that ended three upstreams."""
-    made = Quarantine(LENGTH_S, clock, Metrics())
+    """Return a quarantine with a request that crashed three upstreams."""
+    crashed = Quarantine(LENGTH_S, clock, Metrics())
     for number in range(3):
         clock.now_s = number - 2.0
-        lose(made, f'i-{number}')
-    return made
+        lose(crashed, f'i-{number}')
+    return crashed
 
 
 def lose(quarantine, incarnation):
-    """Let an upstream end under the request."""
+    """Record a crash under the request."""
     loss = Loss(incarnation, quarantine.now(), 0.1)
     quarantine.record_loss(LostRequest(CRASHING, '', 5, loss))
 
 
 def status(quarantine, **fields):
-    """Return what is held against the request."""
+    """Return the status of the request."""
     return quarantine.assessment(CRASHING, **fields).status
 
 
-def test_quarantine_ends_and_begins_again_with_one_more_end(
+def test_quarantine_begins_again_with_one_more_crash(
     clock,
     quarantine,
 ):
-    """A request that ends three more upstreams after each quarantine."""
+    """Otherwise the request would crash three more upstreams each time."""
     assert status(quarantine) is QuarantineStatus.quarantined
     assert quarantine.assessment(CRASHING).wait_s == LENGTH_S
     clock.now_s = LENGTH_S + 1
@@ -67,7 +67,7 @@
 
 
 def test_one_at_a_time_is_tried_on_probation(clock, quarantine):
-    """Many repeats that are let through at the end of a quarantine."""
+    """Otherwise many repeats would be sent at the end of a quarantine."""
     clock.now_s = LENGTH_S + 1
     quarantine.begin_probe(CRASHING)
     assert status(quarantine) is QuarantineStatus.quarantined
@@ -76,8 +76,8 @@
     assert status(quarantine) is QuarantineStatus.on_probation
 
 
-def test_whole_answer_or_pardon_ends_a_quarantine(clock, quarantine):
-    """A request that is kept back though its cause was mended."""
+def test_clearance_ends_a_quarantine(clock, quarantine):
+    """The request is sent again once its cause has been fixed."""
     clock.now_s += 1.0
     assert quarantine.clear(CRASHING)
     assert status(quarantine) is QuarantineStatus.clear
@@ -87,8 +87,8 @@
     assert status(others) is QuarantineStatus.clear
 
 
-def test_all_is_forgotten_in_the_end(clock, quarantine):
-    """Memory that grows with each request that was ever lost."""
+def test_old_losses_expire(clock, quarantine):
+    """Memory must not grow with each request that was ever lost."""
     clock.now_s = 10 * LENGTH_S
     quarantine.tick()
     assert status(quarantine) is QuarantineStatus.clear
@@ -97,7 +97,7 @@
     assert not quarantine.logged
 
 
-def test_nothing_is_asked_of_requests_of_other_lengths(quarantine):
-    """Bodies that are hashed though no suspected one has their length."""
+def test_requests_of_other_lengths_are_not_hashed(quarantine):
+    """Only bodies with the length of a suspected one need a fingerprint."""
     assert quarantine.has_suspected_length(5)
     assert not quarantine.has_suspected_length(6)
--- a/godwitshunt/quarantine/tests/test_crash_causes.py
+++ b/godwitshunt/quarantine/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Which of several lost requests is held to crash upstreams."""
+"""Which of several lost requests are confirmed to crash upstreams."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def fingerprint_of(number: int) -> Fingerprint:
-    """Return a fingerprint."""
+    """Return the fingerprint with a number."""
     return Fingerprint(number.to_bytes(16, 'big'))
 
 
@@ -16,40 +16,40 @@
 
 
 def lose(table, fingerprint, incarnation, at_s, exposure_s=SHORT_S, **fields):
-    """Note a loss."""
-    told = {'organisation': '', 'body_bytes': 5, **fields}
+    """Record a loss."""
+    attributes = {'organisation': '', 'body_bytes': 5, **fields}
     loss = Loss(incarnation, at_s, exposure_s)
-    table.record_loss(LostRequest(fingerprint, loss=loss, **told))
+    table.record_loss(LostRequest(fingerprint, loss=loss, **attributes))
 
 
-def test_third_upstream_that_ends_shows_the_request():
-    """A lethal request that is sent to a fourth upstream."""
+def test_third_crash_confirms_the_request():
+    """It must not be sent to a fourth upstream."""
     table = SuspectTable()
-    found = []
+    confirmed = []
     for number in range(4):
         lose(table, CRASHING, f'i-{number}', number)
-        found.append(CRASHING in table.confirmed())
-    assert found == [False, False, True, True]
+        confirmed.append(CRASHING in table.confirmed())
+    assert confirmed == [False, False, True, True]
 
 
-def test_upstream_that_took_several_copies_counts_once():
-    """Copies sent at once to one upstream that are held to be three ends."""
+def test_upstream_with_several_copies_counts_once():
+    """Copies at one upstream are not several crashes."""
     table = SuspectTable()
     for number in range(5):
         lose(table, CRASHING, 'i-1', number)
     assert not table.confirmed()
 
 
-def test_places_that_end_at_one_moment_show_no_cause():
-    """A lost rack that ends every place of a request that many send alike."""
+def test_simultaneous_crashes_confirm_no_request():
+    """A failed rack crashes all upstreams of a widely sent request."""
     table = SuspectTable()
     for number in range(6):
         lose(table, UNRELATED, f'i-{number}', number / 50)
     assert not table.confirmed()
 
 
-def test_copies_sent_at_once_are_found_by_their_second_moment():
-    """A cause that is sent to three upstreams at once, again and again."""
+def test_simultaneous_copies_are_confirmed_by_the_second_crash_time():
+    """A request may be sent to three upstreams at once, repeatedly."""
     table = SuspectTable()
     for number in range(3):
         lose(table, CRASHING, f'i-{number}', number / 50)
@@ -57,16 +57,16 @@
     assert CRASHING in table.confirmed()
 
 
-def test_ends_that_follow_one_another_closely_count():
-    """A cause that comes again before its last end is half a moment ago."""
+def test_crashes_in_quick_succession_count():
+    """A request may be repeated before the window of its last crash is over."""
     table = SuspectTable()
     for number in range(5):
         lose(table, CRASHING, f'i-{number}', number * 0.15)
     assert CRASHING in table.confirmed()
 
 
-def test_bystander_of_each_end_is_not_held_guilty_with_the_cause():
-    """A client's repeats that meet the lethal request each time."""
+def test_unrelated_request_is_not_confirmed_with_the_cause():
+    """A client's repeats may meet the crashing request each time."""
     table = SuspectTable()
     for number in range(3):
         lose(table, UNRELATED, f'i-{number}', number, LONG_S)
@@ -74,8 +74,8 @@
     assert table.confirmed() == {CRASHING: 3}
 
 
-def test_bystander_held_guilty_first_is_released_by_the_next_end():
-    """Equal evidence that pointed at the wrong request."""
+def test_wrongly_confirmed_request_is_released_by_the_next_crash():
+    """Equal evidence may first point at the wrong request."""
     table = SuspectTable()
     for number in range(3):
         lose(table, UNRELATED, f'i-{number}', number, SHORT_S)
@@ -85,8 +85,8 @@
     assert table.confirmed() == {CRASHING: 4}
 
 
-def test_two_lethal_requests_are_both_found():
-    """Two causes at a time, one of which hides the other."""
+def test_two_crashing_requests_are_both_confirmed():
+    """One of two causes may hide the other at first."""
     table = SuspectTable()
     for number in range(3):
         lose(table, CRASHING, f'i-{number}', number)
@@ -100,8 +100,8 @@
 
 
 @pytest.mark.parametrize('answered_after', [0, 1, 2])
-def test_whole_answer_clears_a_request_that_many_send_alike(answered_after):
-    """A popular request, lost by chance wherever upstreams end."""
+def test_whole_answer_clears_a_popular_request(answered_after):
+    """A popular request may be lost by chance in each crash."""
     table = SuspectTable()
     for number in range(4):
         lose(table, UNRELATED, f'i-{number}', number)
@@ -110,8 +110,8 @@
     assert (UNRELATED in table.confirmed()) is (answered_after == 0)
 
 
-def test_another_organisation_cannot_push_out_what_is_known():
-    """A caller that crashes upstreams with many bodies, to hide one."""
+def test_another_organisation_cannot_evict_records():
+    """A caller must not hide a crashing request behind many others."""
     table = SuspectTable(max_records=20)
     for number in range(3):
         lose(table, CRASHING, f'i-{number}', number, organisation='o-1')
@@ -121,8 +121,8 @@
     assert len(table.records) == 20
 
 
-def test_own_bodies_cannot_push_out_what_is_known():
-    """A caller without an organisation hides behind many bodies of its own."""
+def test_many_bodies_cannot_evict_a_confirmed_request():
+    """The same holds for a caller without an organisation."""
     table = SuspectTable(max_records=20)
     for number in range(3):
         lose(table, CRASHING, f'i-{number}', number)
--- a/godwitshunt/quarantine/crash_causes.py
+++ b/godwitshunt/quarantine/verdicts.py
@@ -33,7 +33,7 @@
     shorter exposure is first, as the cause crashes upstreams soon while others
     are running by chance.
     """
-    suspects = [record for record in records if is_suspect(record)]
+    suspects = [entry for entry in records if is_suspect(entry)]
     suspects.sort(key=suspicion_key)
     confirmed: dict[Fingerprint, int] = {}
     explained_incarnations: set[str] = set()
@@ -44,7 +44,7 @@
         ):
             confirmed[record.fingerprint] = len(record.counted_losses())
             explained_incarnations.update(
-                loss.incarnation for loss in record.counted_losses()
+                entry.incarnation for entry in record.counted_losses()
             )
     return confirmed
 
