--- a/godwitshunt/timer/__init__.py
+++ b/godwitshunt/timer/__init__.py
@@ -1,4 +1,4 @@
-"""Time as a service that other parts subscribe to."""
+"""Timers that call back at a time or periodically."""
 
 from godwitshunt.timer.service import (
     Subscription,
--- a/godwitshunt/timer/service.py
+++ b/godwitshunt/timer/service.py
@@ -1,7 +1,7 @@
 """Real and virtual timers with one interface.
 
-All times are seconds on a monotonic clock that starts at an arbitrary point;
-they are never compared between processes.
+All times are seconds on a monotonic clock with an arbitrary origin. They are
+never compared between processes.
 """
 
 import asyncio
@@ -18,17 +18,17 @@
 
 @dataclass
 class Subscription:
-    """A notice that will be given until it is cancelled.
+    """A scheduled callback that can be cancelled.
 
     Parameters
     ----------
     callback : callable
-        Called without arguments when the time has come.
+        Called without arguments when it is due.
     period_s : float or None
-        Seconds between notices; None for a notice that is given once.
+        Seconds between calls; None for a single call.
     release : callable or None
-        Frees what the timer holds for the notice. Without it a cancelled
-        deadline would keep its request in memory until its time had come.
+        Drops the timer's references to the callback. Otherwise a cancelled
+        deadline would keep its request in memory until it was due.
     """
 
     callback: Callback
@@ -37,27 +37,27 @@
     release: Callback | None = None
 
     def cancel(self) -> None:
-        """Give this notice no more, and hold nothing for it."""
+        """Cancel further calls and drop the timer's references."""
         self.cancelled = True
         if self.release is not None:
             self.release()
 
 
 class Timer(Protocol):
-    """What parts of the system ask of time."""
+    """Interface of all timers."""
 
     def now(self) -> float:
         """Return the monotonic time in seconds."""
 
     def after(self, delay_s: float, callback: Callback) -> Subscription:
-        """Give a notice once, `delay_s` seconds from now."""
+        """Call back once, `delay_s` seconds from now."""
 
     def every(self, period_s: float, callback: Callback) -> Subscription:
-        """Give a notice each `period_s` seconds, first one period from now."""
+        """Call back every `period_s` seconds, first after one period."""
 
 
 class TimerService:
-    """A timer on the running asyncio loop."""
+    """A timer on the running asyncio event loop."""
 
     def __init__(self) -> None:
         self.subscriptions: set[Subscription] = set()
@@ -66,52 +66,52 @@
     def now(self) -> float:
         """Return the monotonic time in seconds, suspended time included.
 
-        A VM that was suspended and wakes would else hold its leases, and what
-        it heard, for as fresh as before: a leader would answer a read from a
-        lease that another leader has long replaced.
+        Otherwise a VM that resumes from suspension would take its leases and
+        received data for as recent as before. A leader could answer a read
+        under a lease although another leader has replaced it.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def after(self, delay_s: float, callback: Callback) -> Subscription:
-        """Give a notice once, `delay_s` seconds from now."""
+        """Call back once, `delay_s` seconds from now."""
         subscription = Subscription(callback)
-        self.arm(subscription, delay_s)
+        self.schedule(subscription, delay_s)
         return subscription
 
     def every(self, period_s: float, callback: Callback) -> Subscription:
-        """Give a notice each `period_s` seconds."""
+        """Call back every `period_s` seconds, first after one period."""
         subscription = Subscription(callback, period_s)
-        self.arm(subscription, period_s)
+        self.schedule(subscription, period_s)
         return subscription
 
-    def arm(self, subscription: Subscription, delay_s: float) -> None:
-        """Wait for the next notice of a subscription."""
+    def schedule(self, subscription: Subscription, delay_s: float) -> None:
+        """Schedule the next call of a subscription."""
         loop = asyncio.get_running_loop()
         number = id(subscription)
         self.handles[number] = loop.call_later(
             delay_s,
-            self.give,
+            self.fire,
             subscription,
         )
-        subscription.release = partial(self.drop, number)
+        subscription.release = partial(self.discard, number)
 
-    def drop(self, number: int) -> None:
-        """Forget a notice that is not to be given."""
+    def discard(self, number: int) -> None:
+        """Cancel a scheduled call and drop its handle."""
         handle = self.handles.pop(number, None)
         if handle is not None:
             handle.cancel()
 
-    def give(self, subscription: Subscription) -> None:
-        """Give one notice and wait for the next where there is one."""
+    def fire(self, subscription: Subscription) -> None:
+        """Schedule the next call of a periodic subscription and call back."""
         self.handles.pop(id(subscription), None)
         if subscription.cancelled:
             return
         if subscription.period_s is not None:
-            self.arm(subscription, subscription.period_s)
+            self.schedule(subscription, subscription.period_s)
         subscription.callback()
 
     def close(self) -> None:
-        """Give no more notices."""
+        """Cancel all scheduled calls."""
         for handle in self.handles.values():
             handle.cancel()
         self.handles.clear()
@@ -119,7 +119,7 @@
 
 @dataclass
 class VirtualTimerService:
-    """A timer for tests whose time passes only by `advance`.
+    """A timer for tests whose time passes only in `advance`.
 
     Examples
     --------
@@ -140,23 +140,23 @@
         return self.time_s
 
     def after(self, delay_s: float, callback: Callback) -> Subscription:
-        """Give a notice once, `delay_s` virtual seconds from now."""
+        """Call back once, `delay_s` virtual seconds from now."""
         subscription = Subscription(callback)
         self.push(self.time_s + delay_s, subscription)
         return subscription
 
     def every(self, period_s: float, callback: Callback) -> Subscription:
-        """Give a notice each `period_s` virtual seconds."""
+        """Call back every `period_s` virtual seconds, first after one period."""
         subscription = Subscription(callback, period_s)
         self.push(self.time_s + period_s, subscription)
         return subscription
 
     def push(self, due_s: float, subscription: Subscription) -> None:
-        """Queue a notice for the given virtual time."""
+        """Queue a call for a virtual time."""
         heapq.heappush(self.queue, (due_s, next(self.order), subscription))
 
     def advance(self, duration_s: float) -> None:
-        """Let virtual seconds pass, giving each notice at its time."""
+        """Advance virtual time and make each call when it is due."""
         end_s = self.time_s + duration_s
         while self.queue and self.queue[0][0] <= end_s:
             due_s, _, subscription = heapq.heappop(self.queue)
--- a/godwitshunt/timer/signals.py
+++ b/godwitshunt/timer/signals.py
@@ -1,4 +1,4 @@
-"""SIGTERM as the beginning of a graceful shutdown, whatever follows it."""
+"""Graceful shutdown on the first SIGTERM or SIGINT."""
 
 import asyncio
 import signal
@@ -10,10 +10,10 @@
 def stop_on_signals(stopping: asyncio.Event) -> None:
     """Set an event on the first SIGTERM or SIGINT; ignore later ones.
 
-    From the first one on the process ignores both, to its very end. Handlers
-    would be taken off while the event loop closes and the interpreter ends,
-    and a second SIGTERM in those milliseconds would end the process with a
-    signal's exit code, which an operator reads as an unclean end.
+    After the first signal the process ignores both until it has exited.
+    Handlers of the event loop are removed while it closes and the interpreter
+    exits; a second SIGTERM in those milliseconds would end the process with a
+    signal's exit code, which operators take for an unclean shutdown.
     """
     handler = partial(stop, asyncio.get_running_loop(), stopping)
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -26,8 +26,8 @@
     number: int,
     frame: FrameType | None,
 ) -> None:
-    """Ignore what follows, and set the event on its loop if that runs."""
-    for each in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(each, signal.SIG_IGN)
+    """Ignore further signals and set the event, if its loop still runs."""
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, signal.SIG_IGN)
     with suppress(RuntimeError):
         loop.call_soon_threadsafe(stopping.set)
--- a/godwitshunt/timer/tests/test_service.py
+++ b/godwitshunt/timer/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The real and the virtual timer give the same notices."""
+"""The real and the virtual timer."""
 
 import asyncio
 
@@ -15,8 +15,8 @@
     timer.close()
 
 
-async def test_real_timer_gives_notices_once_and_repeatedly(real_timer):
-    """Both kinds of subscription fire until they are cancelled."""
+async def test_real_timer_calls_once_and_periodically(real_timer):
+    """Both kinds of subscriptions call back until they are cancelled."""
     once = asyncio.Event()
     thrice = asyncio.Event()
     seen = []
@@ -35,8 +35,8 @@
     assert seen == sorted(seen)
 
 
-async def test_closed_timer_gives_nothing(real_timer):
-    """A part that closed must not be called again by an old subscription."""
+async def test_closed_timer_makes_no_calls(real_timer):
+    """A closed component must not be called by an old subscription."""
     seen = []
     real_timer.every(0.001, lambda: seen.append(1))
     real_timer.close()
@@ -44,18 +44,19 @@
     assert not seen
 
 
-async def test_cancelled_notice_is_not_held(real_timer):
-    """Each request has a deadline far away and ends long before it.
+async def test_cancelled_callback_is_released(real_timer):
+    """Requests have deadlines far in the future and end long before them.
 
-    Held until then, a busy VM's memory would fill with requests of the past.
+    If their callbacks were kept until then, the memory of a busy VM would fill
+    with ended requests.
     """
     for _ in range(3):
         real_timer.after(3600.0, asyncio.Event().set).cancel()
     assert not real_timer.handles
 
 
-def test_virtual_time_orders_notices():
-    """Notices come in order of time, then of subscription."""
+def test_virtual_timer_orders_calls():
+    """Calls are ordered by time, then by subscription."""
     timer = VirtualTimerService()
     seen = []
     timer.after(2.0, lambda: seen.append('late'))
--- a/godwitshunt/timer/tests/test_signals.py
+++ b/godwitshunt/timer/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals begin a graceful shutdown once."""
+"""Graceful shutdown on signals."""
 
 import signal
 import subprocess
@@ -21,10 +21,10 @@
 """
 
 
-def test_second_signal_does_not_spoil_a_clean_end():
-    """A supervisor sends SIGTERM again while the process is ending.
+def test_second_signal_does_not_change_the_exit_code():
+    """A supervisor may send SIGTERM again while the process is exiting.
 
-    The exit code must be 0: anything else is read as an unclean end.
+    The exit code must be 0; any other is taken for an unclean shutdown.
     """
     with subprocess.Popen(
         [sys.executable, '-c', PROGRAM],
