--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -202,7 +202,7 @@
 
     def send(self, vm: Vm, name: str, job: Job, unread: int) -> None:
         """Send a request to an engine, and follow it."""
-        health = vm.upstreams.of(name)
+        health = vm.upstreams.health_of(name)
         health.begin(id(job), unread, self.now_s)
         self.engines[name].submit(job)
         if job.demand.has_affinity:
@@ -239,7 +239,7 @@
         is_read: bool,
     ) -> None:
         """Note a request's first event and its end at its VM."""
-        health = vm.upstreams.of(name)
+        health = vm.upstreams.health_of(name)
         if job.first_s is not None and not is_read:
             is_read = True
             health.record_first_bytes(id(job), unread, self.now_s)
@@ -269,7 +269,8 @@
         """Let each VM hear the others' requests, as late as polls are."""
         loads = {
             id(vm): {
-                name: one.load for name, one in vm.upstreams.reported().items()
+                name: one.load
+                for name, one in vm.upstreams.load_reports().items()
             }
             for vm in self.vms
         }
--- a/godwitshunt/ingress/active_revision.py
+++ b/godwitshunt/ingress/active_revision.py
@@ -40,7 +40,9 @@
         self, route: Route, service: Service
     ) -> frozenset[str]:
         """Return the regions that are no home of any more urgent route."""
-        return self.table.quiet.get((service.name, route.rank), frozenset())
+        return self.table.low_urgency.get(
+            (service.name, route.rank), frozenset()
+        )
 
     def route_of(
         self,
@@ -60,7 +62,7 @@
         Route or None
             None where this revision lacks the route or the organisation.
         """
-        route = self.table.of(note.host or '', note.path_prefix or '')
+        route = self.table.find(note.host or '', note.path_prefix or '')
         is_unknown = bool(note.organisation) and organisation is None
         if route is None or is_unknown:
             return None
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -123,7 +123,7 @@
         """Send the request to an upstream of this region."""
         context = self.context
         announcement = choice.upstream.announcement
-        health = context.upstreams.of(announcement.incarnation)
+        health = context.upstreams.health_of(announcement.incarnation)
         tokens = choice.unread_tokens
         activity = AnswerActivity(
             health,
--- a/godwitshunt/ingress/tests/test_feedback.py
+++ b/godwitshunt/ingress/tests/test_feedback.py
@@ -84,7 +84,7 @@
     its callers would be refused.
     """
     recorder = recorder_at_load(in_flight)
-    speed = recorder.upstreams.learned(SERVICE)
+    speed = recorder.upstreams.learned_speed(SERVICE)
     before_s = speed.token_s
     report = AttemptShown(
         'i-1',
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -102,7 +102,7 @@
         attempt_recorder.record(
             AttemptShown('i-1', 'llm', completed.shown), None, NOW_S
         )
-    health = upstreams.of('i-1')
+    health = upstreams.health_of('i-1')
     failure = (health.connect_failed_s, health.down_until_s)
     assert (failure == (NOW_S, NOW_S + CONNECT_BACKOFF_S)) is not connected
 
--- a/godwitshunt/picking/attempt_recorder.py
+++ b/godwitshunt/picking/attempt_recorder.py
@@ -39,7 +39,7 @@
         self, made: AttemptShown, service: Service, now_s: float
     ) -> None:
         """Learn from one attempt."""
-        health = self.upstreams.of(made.instance)
+        health = self.upstreams.health_of(made.instance)
         match made.shown:
             case Shown.answered:
                 self.note_answer(made, service, now_s)
@@ -66,10 +66,10 @@
         it is busy must not be left out as an outlier, or the others would
         have to bear its load, and be left out in their turn.
         """
-        health = self.upstreams.of(made.instance)
+        health = self.upstreams.health_of(made.instance)
         health.record_response_time(made.first_s, made.predicted_s, now_s)
         if self.has_room(made.instance):
-            learned = self.upstreams.learned(service)
+            learned = self.upstreams.learned_speed(service)
             learned.note(made.first_s, made.took_s)
             if not made.was_held_up:
                 learned.note_reading(made.first_s, made.unread_tokens)
@@ -90,7 +90,7 @@
     def in_flight(self, instance: str) -> int:
         """Return the requests of all VMs at an upstream."""
         others = self.view().loads.get(instance, NO_LOAD)
-        return others.in_flight + self.upstreams.of(instance).in_flight
+        return others.in_flight + self.upstreams.health_of(instance).in_flight
 
     def record_outcome(
         self,
--- a/godwitshunt/picking/chooser.py
+++ b/godwitshunt/picking/chooser.py
@@ -154,10 +154,10 @@
         avoided = self.neighbours.avoided
         ends = [
             avoided.get(f'{region} {ask.service.name}', 0.0)
-            for region in view.doors
+            for region in view.entry_points
         ]
         for upstream in of_service(view, ask.service.name):
-            health = self.upstreams.of(upstream.announcement.incarnation)
+            health = self.upstreams.health_of(upstream.announcement.incarnation)
             ends.extend((health.down_until_s, health.full_until_s))
         opens = [end_s - ask.now_s for end_s in ends if end_s > ask.now_s]
         return max(LEAST_RETRY_S, min(opens, default=NO_UPSTREAM_RETRY_S))
@@ -230,7 +230,7 @@
         if not ask.local:
             regions.update(
                 region
-                for region in view.doors
+                for region in view.entry_points
                 if region not in ask.excluded
                 and not self.neighbours.is_avoided(
                     f'{region} {ask.service.name}',
@@ -251,7 +251,7 @@
         """Return the entry VMs of a region that take requests over."""
         return [
             entry
-            for entry in view.doors.get(region, ())
+            for entry in view.entry_points.get(region, ())
             if entry.name not in ask.excluded
             and not self.neighbours.is_avoided(entry.name, ask.now_s)
         ]
@@ -264,7 +264,7 @@
     ) -> Candidate:
         """Return an upstream as it stands now."""
         told = upstream.announcement
-        health = self.upstreams.of(told.incarnation)
+        health = self.upstreams.health_of(told.incarnation)
         here = upstream.region == self.region
         away_s = 0.0
         if not here:
--- a/godwitshunt/picking/filters.py
+++ b/godwitshunt/picking/filters.py
@@ -52,7 +52,7 @@
         cold = ask.service.cold_start
         if cold is None:
             return False
-        health = self.upstreams.of(upstream.announcement.incarnation)
+        health = self.upstreams.health_of(upstream.announcement.incarnation)
         return ask.now_s - health.connect_failed_s < cold.duration_s
 
     def refusal(
@@ -73,7 +73,7 @@
             return 'leaves'
         if upstream.region != self.region:
             return 'cold' if upstream.cold_until_s > now_s else None
-        health = self.upstreams.of(upstream.announcement.incarnation)
+        health = self.upstreams.health_of(upstream.announcement.incarnation)
         if now_s < health.down_until_s:
             return 'unreached'
         if now_s < health.full_until_s:
--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -67,7 +67,7 @@
         pickers = self.pickers()
         shares = fixed_shares(pickers)
         heard = {self.tables.own_name: inf}
-        for control, table in self.tables.joined.tables.items():
+        for control, table in self.tables.merged.tables.items():
             if control == self.tables.own_name or not table.source:
                 continue
             self.pool.apply_peer_totals(
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -248,7 +248,9 @@
             urgent=not route.rank,
             objective_s=route.objective_s,
         )
-        quiet = known.routes.quiet.get((service.name, route.rank), frozenset())
+        quiet = known.routes.low_urgency.get(
+            (service.name, route.rank), frozenset()
+        )
         return ChoiceRequest(
             route=route,
             service=service,
@@ -327,7 +329,7 @@
 
 def route_for(question: DestinationRequest, routes: RouteTable) -> Route | None:
     """Return the route of a question, as it holds for its organisation."""
-    route = routes.of(question.host, question.path_prefix)
+    route = routes.find(question.host, question.path_prefix)
     if route is None or not question.organisation:
         return route
     organisation = routes.keys.by_name.get(question.organisation)
--- a/godwitshunt/picking/reports.py
+++ b/godwitshunt/picking/reports.py
@@ -80,7 +80,7 @@
         report = Report(
             self.session,
             self.number,
-            self.upstreams.reported(),
+            self.upstreams.load_reports(),
             taken,
         )
         made = report_to_wire(report, source, now_s)
--- a/godwitshunt/picking/routes.py
+++ b/godwitshunt/picking/routes.py
@@ -18,7 +18,7 @@
     ----------
     hosts : mapping
         For each host its routes by path prefix.
-    quiet : mapping
+    low_urgency : mapping
         For a service and a rank the regions that more urgent routes of the
         service have no home in.
     keys : KeyRing
@@ -35,7 +35,7 @@
     """
 
     hosts: Mapping[str, Mapping[str, Route]] = field(default_factory=dict)
-    quiet: Mapping[tuple[str, int], frozenset[str]] = field(
+    low_urgency: Mapping[tuple[str, int], frozenset[str]] = field(
         default_factory=dict,
     )
     keys: KeyRing = field(default_factory=KeyRing)
@@ -86,9 +86,9 @@
     def level(self, route: Route, organisation: Organisation | None) -> int:
         """Return how urgent an organisation's request of a route is."""
         rank = 0 if organisation is None else organisation.rank or 0
-        return self.levels.of(rank, route.rank)
+        return self.levels.find(rank, route.rank)
 
-    def of(self, host: str, path_prefix: str) -> Route | None:
+    def find(self, host: str, path_prefix: str) -> Route | None:
         """Return the route of a host with exactly this prefix."""
         return self.hosts.get(host, {}).get(path_prefix)
 
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -157,7 +157,7 @@
         view = self.registry.view()
         self.follow_revision(now_s)
         self.forget_absent()
-        self.picker.upstreams.forget(view.upstreams)
+        self.picker.upstreams.remove_absent(view.upstreams)
         self.picker.cold.remove_absent(frozenset(view.upstreams))
         own = str(self.registry.location.address)
         self.picker.rank_among(
@@ -209,9 +209,11 @@
         """Note which upstreams have shown an entry VM nothing for how long."""
         before = self.reported.get(name, frozenset())
         for instance in before - report.loads.keys():
-            self.picker.upstreams.of(instance).record_report(name, None, None)
+            self.picker.upstreams.health_of(instance).record_report(
+                name, None, None
+            )
         for instance, one in report.loads.items():
-            health = self.picker.upstreams.of(instance)
+            health = self.picker.upstreams.health_of(instance)
             health.record_report(name, one.oldest_s, one.last_received_s)
         self.reported[name] = frozenset(report.loads)
 
@@ -219,7 +221,7 @@
         """Wait no more for what entry VMs that are gone had sent."""
         for name in self.reported.keys() - self.registry.ledger.entries.keys():
             for instance in self.reported.pop(name):
-                health = self.picker.upstreams.of(instance)
+                health = self.picker.upstreams.health_of(instance)
                 health.record_report(name, None, None)
 
     def give(
--- a/godwitshunt/picking/tests/region.py
+++ b/godwitshunt/picking/tests/region.py
@@ -109,14 +109,14 @@
     def begin(self, instance: str, tokens: int = 0) -> int:
         """Send a request to an upstream; return its number."""
         self.sent += 1
-        health = self.reports.upstreams.of(instance)
+        health = self.reports.upstreams.health_of(instance)
         health.begin(self.sent, tokens, self.client.timer.now())
         self.client.schedule_report()
         return self.sent
 
     def end(self, instance: str, number: int, tokens: int = 0) -> None:
         """End a request."""
-        self.reports.upstreams.of(instance).end(number, tokens)
+        self.reports.upstreams.health_of(instance).end(number, tokens)
         self.client.schedule_report()
 
 
--- a/godwitshunt/picking/tests/test_choosing.py
+++ b/godwitshunt/picking/tests/test_choosing.py
@@ -146,7 +146,9 @@
     )
     service = SimpleNamespace(name='llm', engine=True, cold_start=cold)
     asked = replace(ask(SHORT), service=service)
-    chooser.upstreams.of('k-0').record_connect_failure(NOW_S - missed_ago_s)
+    chooser.upstreams.health_of('k-0').record_connect_failure(
+        NOW_S - missed_ago_s
+    )
     upstream = make_upstream('k-0', 'kochi')
     assert chooser.filter.may_be_cold(upstream, asked) is may_be_cold
 
@@ -174,7 +176,7 @@
         Random(1),
     )
     upstream = make_upstream('k-0', 'kochi')
-    health = chooser.upstreams.of('k-0')
+    health = chooser.upstreams.health_of('k-0')
     for name, until_s in known.items():
         setattr(health, name, until_s)
     found = chooser.opens_in_s(
--- a/godwitshunt/picking/upstreams.py
+++ b/godwitshunt/picking/upstreams.py
@@ -30,7 +30,7 @@
     speeds: dict[str, LearnedSpeed] = field(default_factory=dict)
     outliers: dict[str, OutlierDetector] = field(default_factory=dict)
 
-    def of(self, instance: str) -> UpstreamHealth:
+    def health_of(self, instance: str) -> UpstreamHealth:
         """Return what requests have shown of an incarnation."""
         known = self.health.get(instance)
         if known is None:
@@ -40,9 +40,9 @@
 
     def speed(self, service: Service) -> ServiceSpeed:
         """Return what upstreams of a service take when nothing waits."""
-        return self.learned(service).service_speed()
+        return self.learned_speed(service).service_speed()
 
-    def learned(self, service: Service) -> LearnedSpeed:
+    def learned_speed(self, service: Service) -> LearnedSpeed:
         """Return a service's moving averages."""
         known = self.speeds.get(service.name)
         if known is None:
@@ -86,7 +86,7 @@
         if detector is not None:
             detector.record_sent(instance)
 
-    def reported(self) -> Mapping[str, ReportedLoad]:
+    def load_reports(self) -> Mapping[str, ReportedLoad]:
         """Return this VM's own requests, as they are reported."""
         return {
             instance: ReportedLoad(
@@ -98,7 +98,7 @@
             if health.in_flight
         }
 
-    def forget(self, present: Mapping[str, UpstreamSeen]) -> None:
+    def remove_absent(self, present: Mapping[str, UpstreamSeen]) -> None:
         """Drop upstreams that are gone and have no request of ours."""
         for instance, health in tuple(self.health.items()):
             if instance not in present and not health.in_flight:
--- a/godwitshunt/registry/asking.py
+++ b/godwitshunt/registry/asking.py
@@ -11,7 +11,7 @@
 from godwitshunt.quarantine import SuspectRecord
 from godwitshunt.registry.contacts import ControlContact, HeldTable
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.joined import JoinedTables
+from godwitshunt.registry.merged_tables import MergedTables
 from godwitshunt.registry.prefixes import CachedPrefix
 from godwitshunt.registry.records import EntryRecord
 from godwitshunt.registry.suspect_wire import suspects_to_wire
@@ -56,7 +56,7 @@
 
 def question_to_first(
     contact: ControlContact,
-    joined: JoinedTables,
+    merged: MergedTables,
     told: ToldFirst,
     now_s: float,
 ) -> ttypes.Poll:
@@ -64,13 +64,13 @@
     version = contact.prefixes_version if told.chooses else NOT_ASKED
     return ttypes.Poll(
         entry=entry_to_wire(told.record),
-        held=joined.held(),
+        held=merged.held(),
         report=told.report,
         prefixes=prefixes_to_wire(told.reads, now_s),
         prefixes_version=version,
         wants_loads=told.chooses,
         scope=Scope.all,
-        newer=newer_tables(contact, joined, now_s),
+        newer=newer_tables(contact, merged, now_s),
         suspects=suspects_to_wire(told.suspects, now_s),
         suspects_version=contact.suspects_version,
     )
@@ -78,11 +78,11 @@
 
 def question_to_another(
     contact: ControlContact,
-    joined: JoinedTables,
+    merged: MergedTables,
 ) -> ttypes.Poll:
     """Return what another control VM is asked."""
     return ttypes.Poll(
-        held=joined.held(),
+        held=merged.held(),
         prefixes=[],
         newer=[],
         prefixes_version=NOT_ASKED,
@@ -95,14 +95,14 @@
 
 def newer_tables(
     contact: ControlContact,
-    joined: JoinedTables,
+    merged: MergedTables,
     now_s: float,
 ) -> list[ttypes.TableNews]:
     """Return the tables that a control VM misses and that are held here."""
     if not contact.misses:
         return []
     newer = []
-    for table in joined.tables.values():
+    for table in merged.tables.values():
         held = contact.misses.get(table.source)
         if table.source and is_newer(table, held):
             known = None if held is None else held.to_wire(table.source)
--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -15,8 +15,8 @@
 from godwitshunt.quarantine import Quarantine
 from godwitshunt.registry.contacts import ControlContact
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.joined import JoinedTables
 from godwitshunt.registry.ledger import SummedLoads
+from godwitshunt.registry.merged_tables import MergedTables
 from godwitshunt.registry.prefixes import PrefixTable
 from godwitshunt.registry.records import Load
 from godwitshunt.registry.suspect_wire import suspects_from_wire
@@ -82,7 +82,7 @@
         self.quarantine = quarantine
         self.links = links
         self.timer = timer
-        self.joined = JoinedTables(location.regions)
+        self.merged = MergedTables(location.regions)
         self.contacts: dict[str, ControlContact] = {}
         self.summed: Mapping[str, Load] = {}
         self.summed_of: tuple[tuple[str, float], ...] = ()
@@ -117,12 +117,12 @@
         contact = self.contacts.setdefault(control, ControlContact())
         sent_s = self.timer.now()
         poll = ttypes.Poll(
-            held=self.joined.held(),
+            held=self.merged.held(),
             prefixes=[],
             newer=[],
             prefixes_version=contact.prefixes_version,
             wants_loads=True,
-            scope=Scope.all if self.misses_any(sent_s) else Scope.own_name,
+            scope=Scope.all if self.misses_any(sent_s) else Scope.own,
             from_control=True,
             suspects=[],
             suspects_version=contact.suspects_version,
@@ -149,7 +149,7 @@
         """
         return any(
             now_s - table.answered_s > RELAY_POLL_AFTER_S
-            for control, table in self.joined.tables.items()
+            for control, table in self.merged.tables.items()
             if control != self.own_name
         )
 
@@ -194,11 +194,11 @@
         now_s: float,
     ) -> None:
         """Take what is told of one control VM's table, but of the own one."""
-        whose = self.joined.of_source(news.source)
+        whose = self.merged.of_source(news.source)
         if news.control is not None:
             whose = str(address_of(news.control))
         if whose != self.own_name:
-            self.joined.take(news, sent_s, now_s)
+            self.merged.take(news, sent_s, now_s)
 
     def take_newer(self, told: Iterable[ttypes.TableNews]) -> None:
         """Take tables that an entry VM holds as newer ones.
@@ -213,7 +213,7 @@
 
     def held_own(self) -> ttypes.TableHeld | None:
         """Return which version of the own table stands beside the others."""
-        table = self.joined.tables.get(self.own_name)
+        table = self.merged.tables.get(self.own_name)
         if table is None:
             return None
         return ttypes.TableHeld(
@@ -225,7 +225,7 @@
     def take_own(self, news: ttypes.TableNews) -> None:
         """Put news of the own table beside the others'."""
         now_s = self.timer.now()
-        self.joined.take(news, now_s, now_s)
+        self.merged.take(news, now_s, now_s)
 
     def news(
         self,
@@ -243,7 +243,7 @@
         with_loads : bool
             True where requests at upstreams are told as well.
         """
-        for control, table in self.joined.tables.items():
+        for control, table in self.merged.tables.items():
             if control != self.own_name and table.source:
                 yield relayed_news(
                     table,
@@ -256,7 +256,7 @@
         """Return what other control VMs told of requests, of late, in sum."""
         telling = {
             control: table
-            for control, table in self.joined.tables.items()
+            for control, table in self.merged.tables.items()
             if control != self.own_name
             and now_s - table.loads_asof_s <= self.kept_s(control)
         }
@@ -279,7 +279,7 @@
         return max(
             (
                 table.loads_asof_s
-                for table in self.joined.tables.values()
+                for table in self.merged.tables.values()
                 if table.region == region
             ),
             default=float('-inf'),
@@ -298,25 +298,25 @@
 
     def region_of(self, control: str) -> str:
         """Return where a control VM stands; empty where that is not known."""
-        table = self.joined.tables.get(control)
+        table = self.merged.tables.get(control)
         return '' if table is None else table.region
 
     def controls_in_region(self, region: str) -> list[str]:
         """Return the control VMs that stand in a region."""
         return [
             control
-            for control, table in self.joined.tables.items()
+            for control, table in self.merged.tables.items()
             if table.region == region
         ]
 
     def view(self) -> RegistryView:
         """Return the joined view; the own table is always as of now."""
         now_s = self.timer.now()
-        own_name = self.joined.tables.get(self.own_name)
+        own_name = self.merged.tables.get(self.own_name)
         if own_name is not None:
             own_name.answered_s = now_s
-        return self.joined.view(now_s)
+        return self.merged.view(now_s)
 
-    def leave(self, incarnation: str) -> None:
+    def mark_replaced(self, incarnation: str) -> None:
         """Note that another upstream answers at an incarnation's address."""
-        self.joined.leave(incarnation, self.timer.now())
+        self.merged.mark_replaced(incarnation, self.timer.now())
--- a/godwitshunt/registry/joined.py
+++ b/godwitshunt/registry/merged_tables.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class JoinedOf:
+class MergeInputs:
     """What a joined view was made of.
 
     Parameters
@@ -50,7 +50,7 @@
 
 
 @dataclass
-class JoinedTables:
+class MergedTables:
     """The tables of all control VMs, joined into one view.
 
     Parameters
@@ -64,8 +64,8 @@
     ends: EndedStarts = field(default_factory=EndedStarts)
     replaced: dict[str, float] = field(default_factory=dict)
     changes: int = 0
-    joined_of: JoinedOf | None = None
-    joined: RegistryView = field(default_factory=RegistryView)
+    merge_inputs: MergeInputs | None = None
+    merged: RegistryView = field(default_factory=RegistryView)
 
     def take(
         self,
@@ -130,7 +130,7 @@
         known = [born_ms for born_ms in announcement if born_ms is not None]
         return EndedStart(start.instance, max(known, default=None))
 
-    def leave(self, incarnation: str, now_s: float) -> None:
+    def mark_replaced(self, incarnation: str, now_s: float) -> None:
         """Note that another upstream answers at one's address."""
         self.replaced.setdefault(incarnation, now_s)
         self.changes += 1
@@ -148,11 +148,11 @@
             if table.is_fresh(now_s)
         )
         telling = [self.tables[control] for control in fresh or self.tables]
-        of = JoinedOf(self.changes, fresh, floor(now_s / REJOINED_AFTER_S))
-        if self.joined_of != of:
-            self.joined = self.join(telling, now_s)
-            self.joined_of = of
-        return self.joined
+        of = MergeInputs(self.changes, fresh, floor(now_s / REJOINED_AFTER_S))
+        if self.merge_inputs != of:
+            self.merged = self.join(telling, now_s)
+            self.merge_inputs = of
+        return self.merged
 
     def forget(self, now_s: float) -> None:
         """Drop what ended long ago."""
@@ -192,20 +192,20 @@
         is believed from one that heard of it: an upstream announces itself to
         one control VM at a time. Of two starts the later one is believed.
         """
-        joined: dict[str, Told] = {}
+        merged: dict[str, Told] = {}
         for table in self.tables.values():
             for instance, heard_one in table.upstreams.items():
                 if self.is_past(heard_one.announcement, table, now_s):
                     continue
                 seen = self.seen(heard_one, speaks=table in telling)
                 announcement = Told(seen, (table,))
-                known = joined.get(instance)
-                joined[instance] = (
+                known = merged.get(instance)
+                merged[instance] = (
                     announcement if known is None else known.join(announcement)
                 )
         return {
             one.seen.announcement.incarnation: one.seen
-            for one in joined.values()
+            for one in merged.values()
         }
 
     def has_ended(self, announcement: UpstreamAnnounced, now_s: float) -> bool:
@@ -310,12 +310,12 @@
 
 def join_entries(telling: Iterable[ControlTable]) -> dict[str, EntryRecord]:
     """Return every entry VM that a control VM hears."""
-    joined: dict[str, EntryRecord] = {}
+    merged: dict[str, EntryRecord] = {}
     for table in telling:
         for entry in table.present():
-            known = joined.get(entry.name)
+            known = merged.get(entry.name)
             # Two records of one VM differ for a moment only; one that says
             # that it drains is the later one.
             if known is None or not entry.accepting:
-                joined[entry.name] = entry
-    return joined
+                merged[entry.name] = entry
+    return merged
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -235,7 +235,7 @@
         loads = SummedLoads((self.ledger.totals, self.tables.loads(now_s)))
         return replace(self.tables.view(), loads=loads)
 
-    def leave(self, incarnation: str) -> None:
+    def mark_replaced(self, incarnation: str) -> None:
         """Note that an incarnation is no longer at its address."""
         self.tables.mark_replaced(incarnation)
 
--- a/godwitshunt/registry/tests/test_after_the_dark.py
+++ b/godwitshunt/registry/tests/test_after_the_dark.py
@@ -12,8 +12,8 @@
     LostRequest,
     QuarantineStatus,
 )
-from godwitshunt.registry.joined import JoinedTables
 from godwitshunt.registry.kept_upstreams import FILE_NAME, KeptUpstreams
+from godwitshunt.registry.merged_tables import MergedTables
 from godwitshunt.registry.service import RegistryService
 from godwitshunt.registry.table import Stale, Taken
 from godwitshunt.registry.tests.deployment import control_location
@@ -68,11 +68,11 @@
     before.announce(announced('i-1', 2, draining=True))
     before.withdraw('i-2')
     after = await restarted(before)
-    assert after.upstreams.entries['i-1'].told.draining
+    assert after.upstreams.entries['i-1'].announcement.draining
     assert after.announce(announced('i-2', 9, port=81)) == Stale()
-    joined = JoinedTables(REGIONS)
-    joined.take(news(after.upstreams, 0), 0, 0)
-    assert list(joined.view(0).upstreams) == ['i-1']
+    merged = MergedTables(REGIONS)
+    merged.take(news(after.upstreams, 0), 0, 0)
+    assert list(merged.view(0).upstreams) == ['i-1']
 
 
 async def test_a_departure_kept_here_ends_what_another_vm_remembers(tmp_path):
@@ -82,10 +82,10 @@
         service.announce(announced('i-1', born_ms=BORN))
     one.withdraw('i-1')
     after_one, after_other = await restarted(one), await restarted(other)
-    joined = JoinedTables(REGIONS)
-    joined.take(news(after_other.upstreams, 0, source='c-2'), 0, 0)
-    joined.take(news(after_one.upstreams, 0), 0, 0)
-    assert joined.view(0).upstreams == {}
+    merged = MergedTables(REGIONS)
+    merged.take(news(after_other.upstreams, 0, source='c-2'), 0, 0)
+    merged.take(news(after_one.upstreams, 0), 0, 0)
+    assert merged.view(0).upstreams == {}
 
 
 async def test_another_upstream_at_the_address_takes_its_place(tmp_path):
--- a/godwitshunt/registry/tests/test_news_bounds.py
+++ b/godwitshunt/registry/tests/test_news_bounds.py
@@ -55,7 +55,7 @@
         """Tell whether the entry VM knows it."""
         self.watch.refresh(self.deployment.timer.now())
         seen = self.watch.view().upstreams.get('i-1')
-        return seen is None or seen.told.draining
+        return seen is None or seen.announcement.draining
 
 
 def split(region: Region, *pairs: tuple[int, int]) -> None:
@@ -109,10 +109,10 @@
     region.deployment.controls[3].withdraw('i-1')
     await region.wait(3.0)
     assert region.is_known_to_leave()
-    source = region.watch.joined.tables[str(address(3))].source
+    source = region.watch.merged.tables[str(address(3))].source
     assert source == region.deployment.controls[3].source
     await region.watch.poll(address(1))
-    assert region.watch.joined.tables[str(address(3))].source == source
+    assert region.watch.merged.tables[str(address(3))].source == source
     assert region.is_known_to_leave()
 
 
@@ -122,9 +122,9 @@
     split(region, (1, 2), (2, 3))
     region.leave(3)
     await region.wait(1.0)
-    known = region.watch.joined.tables[str(address(3))].version
+    known = region.watch.merged.tables[str(address(3))].version
     await region.watch.poll(address(2))
-    assert region.watch.joined.tables[str(address(3))].version == known
+    assert region.watch.merged.tables[str(address(3))].version == known
     assert region.is_known_to_leave()
 
 
@@ -151,12 +151,12 @@
     watch = deployment.entry(101)
     watch.contacts.near_only_until_s = deployment.timer.now() + 0.3
     await watch.poll(address(3))
-    assert not watch.joined.tables
+    assert not watch.merged.tables
     await watch.poll(address(2))
     assert watch.first() == str(address(2))
     await deployment.exchange()
     await watch.poll(address(2))
-    assert len(watch.joined.tables) == len(deployment.controls)
+    assert len(watch.merged.tables) == len(deployment.controls)
 
 
 async def test_without_a_control_vm_near_another_region_is_asked():
--- a/godwitshunt/registry/tests/test_news_schedules.py
+++ b/godwitshunt/registry/tests/test_news_schedules.py
@@ -130,7 +130,7 @@
         before = self.deployment.controls[number]
         service = self.deployment.restart(number)
         ends = before.upstreams.gone_since(0)
-        kept = [one.told for one in before.upstreams.entries.values()]
+        kept = [one.announcement for one in before.upstreams.entries.values()]
         service.upstreams.restore(kept, ends, self.now_s)
 
     @rule(seconds=st.floats(0.1, 3.0))
@@ -190,7 +190,7 @@
                     continue
                 watch.refresh(self.now_s)
                 seen = watch.view().upstreams.get(name)
-                assert seen is None or seen.told.draining, (name, entry)
+                assert seen is None or seen.announcement.draining, (name, entry)
 
     @invariant()
     def no_table_goes_back(self):
@@ -198,7 +198,7 @@
         if not hasattr(self, 'versions'):
             return
         for entry, watch in self.watches.items():
-            for control, table in watch.joined.tables.items():
+            for control, table in watch.merged.tables.items():
                 before = self.versions.get((entry, control), ('', 0))
                 if before[0] == table.source:
                     assert table.version >= before[1]
--- a/godwitshunt/registry/tests/test_starts.py
+++ b/godwitshunt/registry/tests/test_starts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitshunt.registry.joined import JoinedTables
+from godwitshunt.registry.merged_tables import MergedTables
 from godwitshunt.registry.records import UpstreamAnnounced
 from godwitshunt.registry.starts import LATE_WORD_S
 from godwitshunt.registry.table import (
@@ -32,16 +32,16 @@
     tables: dict[str, UpstreamTable] = field(
         default_factory=lambda: {'c-1': UpstreamTable(), 'c-2': UpstreamTable()}
     )
-    joined: JoinedTables = field(default_factory=lambda: JoinedTables(REGIONS))
+    merged: MergedTables = field(default_factory=lambda: MergedTables(REGIONS))
 
     def view(self, now_s: float) -> dict[str, UpstreamAnnounced]:
         """Return the upstreams that the entry VM believes in."""
         for control, table in self.tables.items():
             table.tick(now_s)
             told_now = news(table, now_s, source=control)
-            self.joined.take(told_now, now_s, now_s)
-        seen = self.joined.view(now_s).upstreams
-        return {name: one.told for name, one in seen.items()}
+            self.merged.take(told_now, now_s, now_s)
+        seen = self.merged.view(now_s).upstreams
+        return {name: one.announcement for name, one in seen.items()}
 
     def starts(self, now_s: float) -> list[int | None]:
         """Return when the starts were born that the entry VM believes in."""
@@ -57,7 +57,7 @@
     table = UpstreamTable()
     table.announce(told(FIRST, 40), 0)
     assert table.announce(told(SECOND, 1, cold_s=3.0), 2) == Taken()
-    assert table.entries['i-1'].told.born_ms == SECOND
+    assert table.entries['i-1'].announcement.born_ms == SECOND
     assert table.entries['i-1'].cold_until_s == pytest.approx(5.0)
 
 
@@ -107,7 +107,10 @@
     late = told(FIRST, 41, draining=True, cold_s=9.0)
     assert table.announce(late, 1) == Stale()
     known = table.entries['i-1']
-    assert (known.told.born_ms, known.told.draining) == (SECOND, False)
+    assert (known.announcement.born_ms, known.announcement.draining) == (
+        SECOND,
+        False,
+    )
     assert known.cold_until_s == 0
 
 
@@ -179,8 +182,8 @@
     table.announce(told(FIRST, 5), 0)
     assert table.announce(announced(sequence=4), 1) == Stale()
     assert table.announce(announced(sequence=6, draining=True), 1) == Taken()
-    assert table.entries['i-1'].told.draining
-    assert table.entries['i-1'].told.born_ms == FIRST
+    assert table.entries['i-1'].announcement.draining
+    assert table.entries['i-1'].announcement.born_ms == FIRST
     table.withdraw('i-1', 2)
     assert table.announce(announced(sequence=7), 3) == Stale()
 
@@ -190,9 +193,9 @@
     table = UpstreamTable()
     table.announce(announced(sequence=5, draining=True), 0)
     table.announce(told(FIRST, 6), 1)
-    assert table.entries['i-1'].told.draining
+    assert table.entries['i-1'].announcement.draining
     table.announce(told(SECOND, 1), 2)
-    assert not table.entries['i-1'].told.draining
+    assert not table.entries['i-1'].announcement.draining
 
 
 def test_a_start_after_a_good_bye_of_an_unknown_one():
@@ -244,5 +247,5 @@
         table.announce(replace(own, sequence=6), SILENT_AFTER_S + 0.1)
         == Taken()
     )
-    known = table.entries['i-1'].told
+    known = table.entries['i-1'].announcement
     assert (known.address, known.sequence) == (own.address, 6)
--- a/godwitshunt/registry/tests/test_table.py
+++ b/godwitshunt/registry/tests/test_table.py
@@ -38,7 +38,7 @@
     table.announce(announced(sequence=1), 0)
     table.announce(announced(sequence=3, draining=True), 1)
     assert table.announce(announced(sequence=2), 2) == Stale()
-    assert table.entries['i-1'].told.draining
+    assert table.entries['i-1'].announcement.draining
 
 
 def test_draining_is_for_good():
@@ -46,7 +46,7 @@
     table = UpstreamTable()
     table.announce(announced(sequence=1, draining=True), 0)
     table.announce(announced(sequence=2, draining=False), 1)
-    assert table.entries['i-1'].told.draining
+    assert table.entries['i-1'].announcement.draining
 
 
 def test_departed_incarnation_never_comes_back():
--- a/godwitshunt/registry/tests/test_views.py
+++ b/godwitshunt/registry/tests/test_views.py
@@ -2,7 +2,7 @@
 
 from godwitshunt.registry.entries import ABSENT_AFTER_S, EntryTable
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.joined import JoinedTables
+from godwitshunt.registry.merged_tables import MergedTables
 from godwitshunt.registry.records import EntryRecord
 from godwitshunt.registry.table import UpstreamTable
 from godwitshunt.registry.tests.test_table import announced
@@ -50,10 +50,10 @@
     old, new = UpstreamTable(), UpstreamTable()
     old.announce(announced(sequence=5), 0)
     new.announce(announced(sequence=4, draining=True), 0)
-    joined = JoinedTables(REGIONS)
-    joined.take(news(old, 0), 0, 0)
-    joined.take(news(new, 0, source='c-2'), 0, 0)
-    assert joined.view(0).upstreams['i-1'].told.draining
+    merged = MergedTables(REGIONS)
+    merged.take(news(old, 0), 0, 0)
+    merged.take(news(new, 0, source='c-2'), 0, 0)
+    assert merged.view(0).upstreams['i-1'].announcement.draining
 
 
 def test_departure_outlasts_a_table_that_still_lists_it():
@@ -61,10 +61,10 @@
     stays, left = UpstreamTable(), UpstreamTable()
     stays.announce(announced(sequence=1), 0)
     left.withdraw('i-1', 0)
-    joined = JoinedTables(REGIONS)
-    joined.take(news(left, 0, source='c-2'), 0, 0)
-    joined.take(news(stays, 0), 0, 0)
-    assert joined.view(0).upstreams == {}
+    merged = MergedTables(REGIONS)
+    merged.take(news(left, 0, source='c-2'), 0, 0)
+    merged.take(news(stays, 0), 0, 0)
+    assert merged.view(0).upstreams == {}
 
 
 def test_upstream_is_silent_only_where_nobody_hears_it():
@@ -73,20 +73,20 @@
     quiet.announce(announced(sequence=1), 0)
     quiet.tick(5)
     hearing.announce(announced(sequence=5), 5)
-    joined = JoinedTables(REGIONS)
-    joined.take(news(quiet, 5), 5, 5)
-    assert joined.view(5).upstreams['i-1'].silent
-    joined.take(news(hearing, 5, source='c-2'), 5, 5)
-    assert not joined.view(5).upstreams['i-1'].silent
+    merged = MergedTables(REGIONS)
+    merged.take(news(quiet, 5), 5, 5)
+    assert merged.view(5).upstreams['i-1'].silent
+    merged.take(news(hearing, 5, source='c-2'), 5, 5)
+    assert not merged.view(5).upstreams['i-1'].silent
 
 
 def test_cut_off_vm_keeps_what_it_knew():
     """No control VM answers any more, and callers still come."""
     table = UpstreamTable()
     table.announce(announced(), 0)
-    joined = JoinedTables(REGIONS)
-    joined.take(news(table, 0, entries=(entry(),)), 0, 0)
-    view = joined.view(FRESH_S + 10)
+    merged = MergedTables(REGIONS)
+    merged.take(news(table, 0, entries=(entry(),)), 0, 0)
+    view = merged.view(FRESH_S + 10)
     assert not view.upstreams['i-1'].silent
     assert 'e-1' in view.entries
 
@@ -95,11 +95,11 @@
     """Another upstream answered at the address and ran nothing."""
     table = UpstreamTable()
     table.announce(announced(), 0)
-    joined = JoinedTables(REGIONS)
-    joined.take(news(table, 0), 0, 0)
-    joined.leave('i-1', 1)
-    joined.take(news(table, 1), 1, 1)
-    assert joined.view(1).upstreams == {}
+    merged = MergedTables(REGIONS)
+    merged.take(news(table, 0), 0, 0)
+    merged.leave('i-1', 1)
+    merged.take(news(table, 1), 1, 1)
+    assert merged.view(1).upstreams == {}
 
 
 def test_silent_entry_vm_leaves_the_directory():
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -18,7 +18,7 @@
 )
 from godwitshunt.registry.contacts import Contacts, KnownControl
 from godwitshunt.registry.gen.wire import ttypes
-from godwitshunt.registry.joined import JoinedTables, TakenNews
+from godwitshunt.registry.merged_tables import MergedTables, TakenNews
 from godwitshunt.registry.prefixes import CachedPrefix, PrefixTable
 from godwitshunt.registry.records import (
     EntryRecord,
@@ -129,7 +129,7 @@
         self.links = links
         self.timer = timer
         self.metrics = metrics
-        self.joined = JoinedTables(regions)
+        self.merged = MergedTables(regions)
         self.contacts = Contacts()
         self.own_prefixes = PrefixTable()
         self.prefixes = PrefixTable()
@@ -175,7 +175,7 @@
     def age_s(self) -> float:
         """Return the age of the newest table of a control VM, in seconds."""
         answered_s = max(
-            (table.answered_s for table in self.joined.tables.values()),
+            (table.answered_s for table in self.merged.tables.values()),
             default=float('-inf'),
         )
         return self.timer.now() - answered_s
@@ -190,25 +190,25 @@
         """Join the tables anew."""
         is_late = now_s - self.loads_asof_s > LOADS_KEPT_S
         loads = {} if is_late else self.loads
-        self.cached = replace(self.joined.view(now_s), loads=loads)
+        self.cached = replace(self.merged.view(now_s), loads=loads)
         self.cached_s = now_s
 
-    def leave(self, incarnation: str) -> None:
+    def mark_replaced(self, incarnation: str) -> None:
         """Note that an incarnation is no longer at its address."""
         now_s = self.timer.now()
-        self.joined.leave(incarnation, now_s)
+        self.merged.mark_replaced(incarnation, now_s)
         self.refresh(now_s)
         log_change('registry:instance_replaced', instance=incarnation)
 
     def has_ended(self, told: UpstreamAnnounced) -> bool:
         """Tell whether this VM knows that a start of an upstream is over."""
-        return self.joined.has_ended(told, self.timer.now())
+        return self.merged.has_ended(told, self.timer.now())
 
     def known_control(self) -> list[KnownControl]:
         """Return the control VMs that may be asked."""
         known = []
         for address in self.control():
-            table = self.joined.tables.get(str(address))
+            table = self.merged.tables.get(str(address))
             contact = self.contacts.for_control(str(address))
             is_here = contact.region == self.region
             asof_s = float('-inf') if table is None else table.answered_s
@@ -315,7 +315,7 @@
         known = self.known_control()
         contact = self.contacts.for_control(control)
         if control != self.contacts.first(known, now_s):
-            return question_to_another(contact, self.joined)
+            return question_to_another(contact, self.merged)
         own = self.own()
         told = ToldFirst(
             own.record,
@@ -324,7 +324,7 @@
             self.quarantine.own.delta(contact.suspects_told).records,
             chooses=self.contacts.picker(known, now_s) is None,
         )
-        return question_to_first(contact, self.joined, told, now_s)
+        return question_to_first(contact, self.merged, told, now_s)
 
     def take(
         self,
@@ -396,7 +396,7 @@
         now_s: float,
     ) -> None:
         """Take what is told of one control VM's table."""
-        taken = self.joined.take(news, sent_s, now_s)
+        taken = self.merged.take(news, sent_s, now_s)
         if taken is None:
             return
         if taken.gone or news.upstreams or news.gone_entries:
