--- a/godwitshunt/timer/service.py
+++ b/godwitshunt/timer/service.py
@@ -146,7 +146,7 @@
         return subscription
 
     def every(self, period_s: float, callback: Callback) -> Subscription:
-        """Call back every `period_s` virtual seconds, first after one period."""
+        """Call back every `period_s` virtual seconds."""
         subscription = Subscription(callback, period_s)
         self.push(self.time_s + period_s, subscription)
         return subscription
