--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -26,8 +26,8 @@
 from godwitshunt.picking.routes import host_name, pick_service
 
 # Longest wait for updates while the key of a request is unknown. Control VMs
-# prove every 0.25 s that they have every commit, and a proof takes 0.1 to 0.2
-# s to arrive.
+# prove every 250 ms that they have every commit, and a proof takes 100 to 200
+# ms to arrive.
 KEY_LOOKUP_TIMEOUT_S = 0.6
 KEY_POLL_PERIOD_S = 0.06
 
@@ -178,7 +178,7 @@
         principal: Principal,
         now_s: float,
     ) -> Result[RoutedRequest, Problem]:
-        """Return a request with its route, service and limits of time."""
+        """Choose a service; return the request with its deadline."""
         active_revision = self.active_revision()
         bound = active_revision.table.bind(route, principal.organisation)
         if bound is None:
--- a/godwitshunt/ingress/authorization.py
+++ b/godwitshunt/ingress/authorization.py
@@ -35,7 +35,7 @@
 
     Parameters
     ----------
-    rule : ProofRule
+    rule : FreshnessRule
         How long a proof is valid.
     now_s : callable
         Returns monotonic seconds.
--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -97,8 +97,8 @@
         """
         regions = set(self.settings.domains.values())
         regions.add(self.settings.region)
-        part = 1 / len(regions) / self.neighbours.count_in_region()
-        return AdmissionShare(part, part)
+        share = 1 / len(regions) / self.neighbours.count_in_region()
+        return AdmissionShare(share, share)
 
     def cold_share(self) -> float:
         """Return this VM's share of requests to cold upstreams of its region.
@@ -112,13 +112,13 @@
         return 1 / self.neighbours.count_in_region()
 
     def has_cold_capacity(
-        self, upstream: UpstreamSeen, ask: ChoiceRequest
+        self, upstream: UpstreamSeen, request: ChoiceRequest
     ) -> bool:
         """Tell whether this VM may send a cold upstream another request."""
-        cold = ask.service.cold_start
+        cold = request.service.cold_start
         return cold is None or self.budgets.cold.has_room(
             upstream.announcement.incarnation,
             cold.requests_per_s,
             self.cold_share(),
-            ask.now_s,
+            request.now_s,
         )
--- a/godwitshunt/ingress/feedback.py
+++ b/godwitshunt/ingress/feedback.py
@@ -75,7 +75,7 @@
 
 @dataclass
 class AttemptFeedback:
-    """Reports the attempts of one request to the learner and the picker."""
+    """Reports the attempts of one request to its recorder and to the picker."""
 
     context: IngressContext
     request: RoutedRequest
--- a/godwitshunt/ingress/lifecycle.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -194,7 +194,7 @@
     def quarantine_step(self) -> Step | None:
         """Return the last step of a request that must not be sent.
 
-        A request that is only suspected is sent once more, but not retried:
+        A suspected request is sent on behalf of its caller but not retried:
         the next crash would be the third.
         """
         quarantine = self.context.quarantine
@@ -263,7 +263,7 @@
         """
         for _ in range(MAX_PICKER_QUERIES):
             choice = await self.context.picker.request_destination(
-                self.question()
+                self.destination_request()
             )
             self.record_charge(choice)
             if choice is None or self.is_valid_choice(choice):
@@ -271,7 +271,7 @@
             self.exclude(choice)
         return None
 
-    def question(self) -> DestinationRequest:
+    def destination_request(self) -> DestinationRequest:
         """Return the query to the picker."""
         request = self.request
         now_s = self.context.timer.now()
@@ -324,11 +324,11 @@
         """
         announcement = upstream.announcement
         homes = self.request.route.homes
-        known = self.context.watch.view().upstreams.get(
+        current = self.context.watch.view().upstreams.get(
             announcement.incarnation, upstream
         )
         is_leaving = (
-            known.announcement.draining
+            current.announcement.draining
             or self.context.watch.has_ended(announcement)
         )
         is_home = not homes or self.context.settings.region in homes
@@ -375,7 +375,7 @@
         """Return this VM's own choice, whatever the limits."""
         request = self.request
         now_s = self.context.timer.now()
-        ask = ChoiceRequest(
+        choice_request = ChoiceRequest(
             route=request.route,
             service=request.service,
             demand=self.demand(),
@@ -392,7 +392,7 @@
         )
         view = self.context.watch.view()
         revision = self.context.active_revision().revision
-        return self.context.chooser.choose(ask, view, revision)
+        return self.context.chooser.choose(choice_request, view, revision)
 
     def spend_retry(self) -> bool:
         """Spend one retry of the budget where an upstream had the request."""
--- a/godwitshunt/ingress/prompts.py
+++ b/godwitshunt/ingress/prompts.py
@@ -102,14 +102,14 @@
 
 def read_parts(header: str) -> tuple[PromptPart, ...]:
     """Parse comma-separated ``ID:TOKENS``; empty where malformed."""
-    found = []
+    parts = []
     for each in header.split(',')[:MAX_PARTS]:
         key, _, tokens = each.strip().partition(':')
         try:
-            found.append(PromptPart(int(key, 16), max(0, int(tokens))))
+            parts.append(PromptPart(int(key, 16), max(0, int(tokens))))
         except ValueError:
             return ()
-    return tuple(found)
+    return tuple(parts)
 
 
 def read_counts(header: str) -> tuple[int, int]:
--- a/godwitshunt/ingress/requests.py
+++ b/godwitshunt/ingress/requests.py
@@ -40,7 +40,7 @@
         True where an upstream received it before it was forwarded.
     is_forwarded : bool
         True where another VM forwarded it.
-    quiet_regions : frozenset of str
+    low_urgency_regions : frozenset of str
         Regions that are no home of the service's more urgent routes.
     level : int
         Urgency level; 0 is the most urgent.
--- a/godwitshunt/ingress/sending.py
+++ b/godwitshunt/ingress/sending.py
@@ -148,7 +148,7 @@
         self.prompt_reader = announcement.incarnation
         outcome: AttemptOutcome | None = None
         try:
-            outcome = await self.make(attempt)
+            outcome = await self.run_attempt(attempt)
         finally:
             health.end(activity.number, tokens)
             self.report(choice, attempt, outcome, activity, sent_s)
@@ -191,7 +191,7 @@
             is_forward=True,
         )
         sent_s = self.context.timer.now()
-        outcome = await self.make(attempt)
+        outcome = await self.run_attempt(attempt)
         took_s = self.context.timer.now() - sent_s
         destination = f'{choice.entry.region}/{choice.entry.name}'
         self.trace.record_attempt(destination, outcome)
@@ -200,8 +200,8 @@
             self.excluded.add(failed)
         return outcome
 
-    async def make(self, attempt: Attempt) -> AttemptOutcome:
-        """Make an attempt, with `in_flight` set until its outcome is known."""
+    async def run_attempt(self, attempt: Attempt) -> AttemptOutcome:
+        """Run an attempt, with `in_flight` set until its outcome is known."""
         pool = self.context.hops if attempt.is_forward else self.context.pool
         self.in_flight = True
         outcome = await attempt.run(pool, self.writer)
@@ -275,10 +275,10 @@
         runs = self.progress.runs + int(self.request.repeat)
         if not route.repeatable or runs + 1 >= route.attempts:
             return ResponseTimeouts()
-        least_s = ENGINE_TIMEOUT_S
+        min_s = ENGINE_TIMEOUT_S
         if self.request.service.engine is None:
-            least_s = PLAIN_TIMEOUT_SHARE * route.objective_s
-        first_s = max(least_s, TIMEOUT_RATIO * predicted_s)
+            min_s = PLAIN_TIMEOUT_SHARE * route.objective_s
+        first_s = max(min_s, TIMEOUT_RATIO * predicted_s)
         return ResponseTimeouts(first_s, STREAM_GAP_TIMEOUT_S)
 
     def forward_timeouts(self) -> ResponseTimeouts:
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -47,7 +47,7 @@
 # Callers' idle connections are kept open slightly longer than announced, so
 # that none is closed while a request is on its way.
 IDLE_EXTRA_S = 2.0
-# Connections of other entry VMs, which limit their number themselves.
+# Idle timeout of other entry VMs, which bound the requests that they forward.
 HOP_IDLE_S = 30.0
 DRAIN_CHECK_S = 0.05
 
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -76,7 +76,7 @@
         watch=SimpleNamespace(view=lambda: view, round_trips=dict),
         timer=SimpleNamespace(now=lambda: NOW_S),
         neighbours=SimpleNamespace(record_entries=lambda entries, now_s: None),
-        upstreams=SimpleNamespace(forget=lambda present: None),
+        upstreams=SimpleNamespace(remove_absent=lambda present: None),
         budgets=SimpleNamespace(cold=recorder),
         pool=recorder,
         metrics=SimpleNamespace(gauge=lambda name, value: None),
