--- a/godwitshunt/ingress/feedback.py
+++ b/godwitshunt/ingress/feedback.py
@@ -14,7 +14,7 @@
     Streamed,
 )
 from godwitshunt.ingress.requests import RoutedRequest
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.choices import HandOver, SendHere
 from godwitshunt.registry import UpstreamAnnounced
 from godwitshunt.telemetry import log_change
@@ -52,24 +52,24 @@
         return self.choice.upstream.announcement.incarnation
 
     @property
-    def shown(self) -> Shown | None:
+    def shown(self) -> AttemptResult | None:
         """What the attempt shows of the upstream; None for nothing."""
         match self.outcome:
             case _ if self.attempt.misdirected:
-                return Shown.replaced
+                return AttemptResult.replaced
             case None:
                 is_unresponsive = (
                     self.first_s is None and self.took_s > UNRESPONSIVE_AFTER_S
                 )
-                return Shown.nothing if is_unresponsive else None
+                return AttemptResult.nothing if is_unresponsive else None
             case _ if not self.attempt.connected:
-                return Shown.unreached
+                return AttemptResult.unreached
             case Answered() | Streamed() if self.first_s is not None:
-                return Shown.answered
+                return AttemptResult.answered
             case NotRun(arrived=True):
-                return Shown.full
+                return AttemptResult.full
             case Lost() | Failed():
-                return Shown.failed
+                return AttemptResult.failed
         return None
 
 
@@ -90,7 +90,7 @@
         if shown is None:
             return
         choice = completed.choice
-        report = AttemptShown(
+        report = AttemptReport(
             instance=completed.incarnation,
             service=self.request.service.name,
             shown=shown,
@@ -105,7 +105,7 @@
             report, self.request.service, now_s
         )
         self.context.picker.report_attempt(report)
-        if shown is Shown.answered:
+        if shown is AttemptResult.answered:
             self.count_long_prompt(choice)
 
     def record_loss(self, completed: CompletedAttempt, lost: Lost) -> None:
--- a/godwitshunt/ingress/tests/test_feedback.py
+++ b/godwitshunt/ingress/tests/test_feedback.py
@@ -7,7 +7,7 @@
 from godwitshunt.ingress.feedback import AttemptFeedback, CompletedAttempt
 from godwitshunt.ingress.outcomes import Lost, NotRun, Streamed
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing.upstream_health import UpstreamHealth
@@ -38,7 +38,7 @@
         connected='connect' not in getattr(outcome, 'reason', ''),
     )
     completed = CompletedAttempt(None, attempt, outcome, None, 0.1)
-    report = AttemptShown('i-1', 'llm', completed.shown)
+    report = AttemptReport('i-1', 'llm', completed.shown)
     recorder = recorder_at_load(in_flight)
     recorder.record(report, SERVICE, now_s=1.0)
     detector = recorder.upstreams.outliers.get('llm')
@@ -86,10 +86,10 @@
     recorder = recorder_at_load(in_flight)
     speed = recorder.upstreams.learned_speed(SERVICE)
     before_s = speed.token_s
-    report = AttemptShown(
+    report = AttemptReport(
         'i-1',
         'llm',
-        Shown.answered,
+        AttemptResult.answered,
         first_s=0.06,
         took_s=0.5,
         predicted_s=0.1,
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -11,7 +11,7 @@
 from godwitshunt.ingress.sending import Sender
 from godwitshunt.ingress.task import IngressTask
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamAnnounced
 from godwitshunt.routing.upstream_health import CONNECT_BACKOFF_S
@@ -93,14 +93,14 @@
         upstream=SimpleNamespace(announcement=ANNOUNCEMENT)
     )
     completed = CompletedAttempt(choice, attempt, NotRun('connect'), None, 0.1)
-    assert (completed.shown is Shown.unreached) is not connected
+    assert (completed.shown is AttemptResult.unreached) is not connected
     upstreams = Upstreams()
     attempt_recorder = AttemptRecorder(
         upstreams, RegistryView, lambda incarnation: None
     )
     if completed.shown is not None:
         attempt_recorder.record(
-            AttemptShown('i-1', 'llm', completed.shown), None, NOW_S
+            AttemptReport('i-1', 'llm', completed.shown), None, NOW_S
         )
     health = upstreams.health_of('i-1')
     failure = (health.connect_failed_s, health.down_until_s)
@@ -117,6 +117,6 @@
         Upstreams(), RegistryView, replaced.append
     )
     attempt_recorder.record(
-        AttemptShown('i-1', 'llm', completed.shown), None, NOW_S
+        AttemptReport('i-1', 'llm', completed.shown), None, NOW_S
     )
     assert replaced == ['i-1']
--- a/godwitshunt/picking/attempt_recorder.py
+++ b/godwitshunt/picking/attempt_recorder.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from godwitshunt.manifest import Service
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.upstreams import Upstreams, of_service
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing import outliers
@@ -36,18 +36,18 @@
     leave: Callable[[str], None]
 
     def record(
-        self, made: AttemptShown, service: Service, now_s: float
+        self, made: AttemptReport, service: Service, now_s: float
     ) -> None:
         """Learn from one attempt."""
         health = self.upstreams.health_of(made.instance)
         match made.shown:
-            case Shown.answered:
+            case AttemptResult.answered:
                 self.note_answer(made, service, now_s)
-            case Shown.replaced:
+            case AttemptResult.replaced:
                 self.leave(made.instance)
-            case Shown.unreached:
+            case AttemptResult.unreached:
                 health.record_connect_failure(now_s)
-            case Shown.full:
+            case AttemptResult.full:
                 health.full_until_s = now_s + FULL_BACKOFF_S
                 if self.has_room(made.instance):
                     self.record_outcome(made, outliers.Failed(), now_s)
@@ -56,7 +56,7 @@
 
     def note_answer(
         self,
-        made: AttemptShown,
+        made: AttemptReport,
         service: Service,
         now_s: float,
     ) -> None:
@@ -94,7 +94,7 @@
 
     def record_outcome(
         self,
-        made: AttemptShown,
+        made: AttemptReport,
         outcome: outliers.AttemptOutcome,
         now_s: float,
     ) -> None:
--- a/godwitshunt/picking/attempt_reports.py
+++ b/godwitshunt/picking/attempt_reports.py
@@ -10,7 +10,7 @@
 MILLISECONDS = 1000
 
 
-class Shown(IntEnum):
+class AttemptResult(IntEnum):
     """What became of an attempt.
 
     `answered`: a whole answer came. `failed`: it broke off, or failed by
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class AttemptShown:
+class AttemptReport:
     """What one attempt showed of an upstream.
 
     Parameters
@@ -50,7 +50,7 @@
 
     instance: str
     service: str
-    shown: Shown
+    shown: AttemptResult
     first_s: float | None = None
     took_s: float = 0.0
     predicted_s: float = 0.0
@@ -58,7 +58,7 @@
     was_held_up: bool = False
 
 
-def shown_to_wire(shown: Iterable[AttemptShown]) -> list[ttypes.AttemptShown]:
+def shown_to_wire(shown: Iterable[AttemptReport]) -> list[ttypes.AttemptShown]:
     """Return what attempts showed as structs."""
     return [
         ttypes.AttemptShown(
@@ -77,7 +77,7 @@
 
 def shown_from_wire(
     told: Iterable[ttypes.AttemptShown] | None,
-) -> list[AttemptShown]:
+) -> list[AttemptReport]:
     """Read what attempts showed.
 
     Raises
@@ -91,13 +91,13 @@
         raise FrameError(f'AttemptShown: {bad!r}') from None
 
 
-def read_shown(one: ttypes.AttemptShown) -> AttemptShown:
+def read_shown(one: ttypes.AttemptShown) -> AttemptReport:
     """Read what one attempt showed."""
     first_s = None if one.first_ms is None else one.first_ms / MILLISECONDS
-    return AttemptShown(
+    return AttemptReport(
         instance=one.instance,
         service=one.service_name,
-        shown=Shown(one.shown),
+        shown=AttemptResult(one.shown),
         first_s=first_s,
         took_s=one.took_ms / MILLISECONDS,
         predicted_s=one.predicted_ms / MILLISECONDS,
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -4,7 +4,7 @@
 
 from godwitshunt.exceptions import FrameError
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
-from godwitshunt.picking.attempt_reports import AttemptShown
+from godwitshunt.picking.attempt_reports import AttemptReport
 from godwitshunt.picking.choices import Choice
 from godwitshunt.picking.neighbours import Neighbours
 from godwitshunt.picking.picker import DestinationRequest
@@ -110,7 +110,7 @@
         self.watch.contacts.for_control(str(picker)).record_failure()
         self.watch.start_poll(picker)
 
-    def report_attempt(self, made: AttemptShown) -> None:
+    def report_attempt(self, made: AttemptReport) -> None:
         """Tell the picker what an attempt showed."""
         self.reports.shown.append(made)
         self.schedule_report()
--- a/godwitshunt/picking/reports.py
+++ b/godwitshunt/picking/reports.py
@@ -6,7 +6,7 @@
 
 from godwitshunt.manifest import Manifest
 from godwitshunt.organisations import LimitPool, limits_of
-from godwitshunt.picking.attempt_reports import AttemptShown, shown_to_wire
+from godwitshunt.picking.attempt_reports import AttemptReport, shown_to_wire
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.quarantine import SuspectTable
 from godwitshunt.registry.gen.wire import ttypes
@@ -51,7 +51,7 @@
     limits: LimitPool = field(default_factory=LimitPool)
     suspects: SuspectTable = field(default_factory=SuspectTable)
     number: int = 0
-    shown: deque[AttemptShown] = field(
+    shown: deque[AttemptReport] = field(
         default_factory=lambda: deque(maxlen=MOST_SHOWN),
     )
     places_of: str = ''
--- a/godwitshunt/picking/routes.py
+++ b/godwitshunt/picking/routes.py
@@ -86,7 +86,7 @@
     def level(self, route: Route, organisation: Organisation | None) -> int:
         """Return how urgent an organisation's request of a route is."""
         rank = 0 if organisation is None else organisation.rank or 0
-        return self.levels.find(rank, route.rank)
+        return self.levels.of(rank, route.rank)
 
     def find(self, host: str, path_prefix: str) -> Route | None:
         """Return the route of a host with exactly this prefix."""
