--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -257,13 +257,15 @@
 
     def tell(self, vm: Vm, read: CachedPrefix) -> None:
         """Let a VM know of a read, and the others a little later."""
-        vm.prefixes.note(read)
+        vm.prefixes.record(read)
         if not self.pattern.told:
             return
         for other in self.vms:
             if other is not vm:
                 late_s = 2 * self.random.uniform(0, NEWS_S)
-                self.at(self.now_s + late_s, partial(other.prefixes.note, read))
+                self.at(
+                    self.now_s + late_s, partial(other.prefixes.record, read)
+                )
 
     def share_loads(self) -> None:
         """Let each VM hear the others' requests, as late as polls are."""
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -324,7 +324,7 @@
         """
         if demand.shared_tokens >= MIN_SHARED_TOKENS:
             read = CachedPrefix(demand.shared_key, instance, now_s)
-            self.prefixes.note(read)
+            self.prefixes.record(read)
 
 
 def route_for(question: DestinationRequest, routes: RouteTable) -> Route | None:
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -310,8 +310,8 @@
     ) -> None:
         """Take what an entry VM's requests have shown of kept prompts."""
         for read in prefixes_from_wire(announcement, now_s):
-            self.heard_prefixes.note(read)
-            self.prefixes.note(read)
+            self.heard_prefixes.record(read)
+            self.prefixes.record(read)
 
     def reply(self, poll: ttypes.Poll) -> ttypes.PollReply:
         """Return what is newer than what whoever asks holds."""
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -183,8 +183,8 @@
     def record_cached_prefix(self, key: int, instance: str) -> None:
         """Note that an upstream has read a prefix of this VM's request."""
         read = CachedPrefix(key, instance, self.timer.now())
-        self.own_prefixes.note(read)
-        self.prefixes.note(read)
+        self.own_prefixes.record(read)
+        self.prefixes.record(read)
 
     def refresh(self, now_s: float) -> None:
         """Join the tables anew."""
