--- a/godwitshunt/ingress/feedback.py
+++ b/godwitshunt/ingress/feedback.py
@@ -52,7 +52,7 @@
         return self.choice.upstream.announcement.incarnation
 
     @property
-    def shown(self) -> AttemptResult | None:
+    def attempt_result(self) -> AttemptResult | None:
         """What the attempt shows of the upstream; None for nothing."""
         match self.outcome:
             case _ if self.attempt.misdirected:
@@ -86,14 +86,14 @@
             self.record_loss(completed, completed.outcome)
         if isinstance(completed.outcome, (Answered, Streamed, Failed)):
             self.record_whole_answer()
-        shown = completed.shown
-        if shown is None:
+        attempt_result = completed.attempt_result
+        if attempt_result is None:
             return
         choice = completed.choice
         report = AttemptReport(
             instance=completed.incarnation,
             service=self.request.service.name,
-            shown=shown,
+            shown=attempt_result,
             first_s=completed.first_s,
             took_s=completed.took_s,
             predicted_s=choice.predicted_s,
@@ -105,7 +105,7 @@
             report, self.request.service, now_s
         )
         self.context.picker.report_attempt(report)
-        if shown is AttemptResult.answered:
+        if attempt_result is AttemptResult.answered:
             self.count_long_prompt(choice)
 
     def record_loss(self, completed: CompletedAttempt, lost: Lost) -> None:
--- a/godwitshunt/ingress/tests/test_feedback.py
+++ b/godwitshunt/ingress/tests/test_feedback.py
@@ -38,7 +38,7 @@
         connected='connect' not in getattr(outcome, 'reason', ''),
     )
     completed = CompletedAttempt(None, attempt, outcome, None, 0.1)
-    report = AttemptReport('i-1', 'llm', completed.shown)
+    report = AttemptReport('i-1', 'llm', completed.attempt_result)
     recorder = recorder_at_load(in_flight)
     recorder.record(report, SERVICE, now_s=1.0)
     detector = recorder.upstreams.outliers.get('llm')
@@ -124,7 +124,7 @@
     context = SimpleNamespace(
         timer=SimpleNamespace(now=lambda: 1.0),
         attempt_recorder=SimpleNamespace(
-            record=lambda shown, service, now_s: None
+            record=lambda recorded, service, now_s: None
         ),
         picker=SimpleNamespace(report_attempt=reports.append),
         quarantine=SimpleNamespace(has_suspected_length=lambda length: False),
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -93,14 +93,16 @@
         upstream=SimpleNamespace(announcement=ANNOUNCEMENT)
     )
     completed = CompletedAttempt(choice, attempt, NotRun('connect'), None, 0.1)
-    assert (completed.shown is AttemptResult.unreached) is not connected
+    assert (
+        completed.attempt_result is AttemptResult.unreached
+    ) is not connected
     upstreams = Upstreams()
     attempt_recorder = AttemptRecorder(
         upstreams, RegistryView, lambda incarnation: None
     )
-    if completed.shown is not None:
+    if completed.attempt_result is not None:
         attempt_recorder.record(
-            AttemptReport('i-1', 'llm', completed.shown), None, NOW_S
+            AttemptReport('i-1', 'llm', completed.attempt_result), None, NOW_S
         )
     health = upstreams.health_of('i-1')
     failure = (health.connect_failed_s, health.down_until_s)
@@ -117,6 +119,6 @@
         Upstreams(), RegistryView, replaced.append
     )
     attempt_recorder.record(
-        AttemptReport('i-1', 'llm', completed.shown), None, NOW_S
+        AttemptReport('i-1', 'llm', completed.attempt_result), None, NOW_S
     )
     assert replaced == ['i-1']
--- a/godwitshunt/quarantine/tests/test_machine.py
+++ b/godwitshunt/quarantine/tests/test_machine.py
@@ -135,18 +135,14 @@
         for _ in range(PROCESSES + 1):
             for sender, receiver in permutations(range(PROCESSES), 2):
                 self.send_delta(sender, receiver)
-        confirmed = [
-            set(quarantine.table.confirmed()) for quarantine in self.quarantines
-        ]
-        assert all(quarantine == confirmed[0] for quarantine in confirmed)
+        confirmed = [set(each.table.confirmed()) for each in self.quarantines]
+        assert all(each == confirmed[0] for each in confirmed)
         if self.may_be_confirmed() and not self.restarts:
             assert CRASHING in confirmed[0]
-        versions = [quarantine.table.version for quarantine in self.quarantines]
+        versions = [each.table.version for each in self.quarantines]
         for sender, receiver in permutations(range(PROCESSES), 2):
             self.send_delta(sender, receiver)
-        assert versions == [
-            quarantine.table.version for quarantine in self.quarantines
-        ]
+        assert versions == [each.table.version for each in self.quarantines]
 
 
 ProcessesMachine.TestCase.settings = settings(
