--- a/godwitshunt/ingress/admission.py
+++ b/godwitshunt/ingress/admission.py
@@ -64,7 +64,7 @@
         Tells how recent the known keys are.
     random : random.Random
         Selects a service by the route's weights.
-    is_young : callable
+    is_warming_up : callable
         Returns whether the VM has started recently and is still receiving its
         first updates.
     """
@@ -73,7 +73,7 @@
     active_revision: Callable[[], ActiveRevision | None]
     authorizer: Authorizer
     random: Random
-    is_young: Callable[[], bool] = always_false
+    is_warming_up: Callable[[], bool] = always_false
 
     async def admit(
         self,
@@ -121,7 +121,9 @@
         """
         if self.is_unknown_key(resolved):
             return True
-        return self.is_young() and is_refused_as(resolved, ProblemKind.unproven)
+        return self.is_warming_up() and is_refused_as(
+            resolved, ProblemKind.unproven
+        )
 
     def is_unknown_key(self, resolved: Result[RoutedRequest, Problem]) -> bool:
         """Tell whether a request was refused because of its key."""
--- a/godwitshunt/ingress/lifecycle.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -235,7 +235,7 @@
         has_no_destination = (
             isinstance(choice, NoPlace) and not choice.overloaded
         )
-        return has_no_destination and self.context.watch.is_young
+        return has_no_destination and self.context.watch.is_warming_up
 
     async def choose(self) -> Choice:
         """Choose a destination and spend its budgets."""
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -70,7 +70,7 @@
             self.current,
             context.authorizer,
             Random(),
-            lambda: context.watch.is_young,
+            lambda: context.watch.is_warming_up,
         )
         self.configured = asyncio.Event()
         self.draining = False
@@ -230,7 +230,7 @@
 
     async def wait_for_revision(self) -> None:
         """Wait shortly for the first revision while the VM is warming up."""
-        if self.active_revision is None and self.context.watch.is_young:
+        if self.active_revision is None and self.context.watch.is_warming_up:
             with suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_REVISION_WAIT_S):
                     await self.configured.wait()
--- a/godwitshunt/ingress/tests/test_authorization.py
+++ b/godwitshunt/ingress/tests/test_authorization.py
@@ -40,7 +40,7 @@
     newest: ActiveRevision | None = None
     now_s: float = 100.0
     proof_s: float = 99.5
-    is_young: bool = False
+    is_warming_up: bool = False
     renewals: int = 0
     authorizer: Authorizer = field(init=False)
 
@@ -56,7 +56,7 @@
             lambda: self.active,
             self.authorizer,
             Random(1),
-            lambda: self.is_young,
+            lambda: self.is_warming_up,
         )
 
     async def renew(self) -> None:
@@ -107,13 +107,15 @@
     assert admitted.err_value.kind is ProblemKind.unproven
 
 
-@pytest.mark.parametrize(('is_young', 'renews'), [(False, False), (True, True)])
+@pytest.mark.parametrize(
+    ('is_warming_up', 'renews'), [(False, False), (True, True)]
+)
 async def test_vm_without_proof_refuses_at_once_unless_it_is_young(
-    is_young,
+    is_warming_up,
     renews,
 ):
     """The VM is cut off and must not hold requests that it cannot serve."""
-    vm = Vm(active_revision(WARDS), proof_s=90.0, is_young=is_young)
+    vm = Vm(active_revision(WARDS), proof_s=90.0, is_warming_up=is_warming_up)
     admitted = await vm.admit()
     assert admitted.err_value.kind is ProblemKind.unproven
     assert bool(vm.renewals) is renews
--- a/godwitshunt/ingress/tests/test_startup.py
+++ b/godwitshunt/ingress/tests/test_startup.py
@@ -20,9 +20,11 @@
 class ScriptedRequest(RequestLifecycle):
     """A request with predefined choices."""
 
-    def __init__(self, choices, *, is_young=True):
+    def __init__(self, choices, *, is_warming_up=True):
         self.choices = list(choices)
-        self.context = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
+        self.context = SimpleNamespace(
+            watch=SimpleNamespace(is_warming_up=is_warming_up)
+        )
 
     async def choose(self):
         """Return the next choice."""
@@ -35,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ('choices', 'is_young', 'remaining_choices'),
+    ('choices', 'is_warming_up', 'remaining_choices'),
     [
         ([NO_UPSTREAM, 'i-1', 'i-2'], True, 1),
         ([NO_UPSTREAM, NO_UPSTREAM, NO_UPSTREAM, NO_UPSTREAM, 'i-1'], True, 1),
@@ -45,7 +47,7 @@
 )
 async def test_request_waits_for_updates_about_a_first_upstream(
     choices,
-    is_young,
+    is_warming_up,
     remaining_choices,
 ):
     """After a full restart a VM learns of other regions last.
@@ -55,7 +57,7 @@
     upstreams are full, or where the VM has run long enough to know that there
     is none.
     """
-    request = ScriptedRequest(choices, is_young=is_young)
+    request = ScriptedRequest(choices, is_warming_up=is_warming_up)
     await request.choose_after_updates()
     assert len(request.choices) == remaining_choices
 
@@ -102,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    ('is_young', 'arrives_after_s', 'waited', 'admitted'),
+    ('is_warming_up', 'arrives_after_s', 'waited', 'admitted'),
     [
         (True, 0.01, True, True),
         (True, None, True, False),
@@ -111,7 +113,7 @@
 )
 async def test_request_before_the_first_revision_waits_for_it(
     monkeypatch,
-    is_young,
+    is_warming_up,
     arrives_after_s,
     waited,
     admitted,
@@ -125,7 +127,9 @@
     task = IngressTask.__new__(IngressTask)
     task.active_revision = None
     task.configured = asyncio.Event()
-    task.context = SimpleNamespace(watch=SimpleNamespace(is_young=is_young))
+    task.context = SimpleNamespace(
+        watch=SimpleNamespace(is_warming_up=is_warming_up)
+    )
     if arrives_after_s is not None:
         loop = asyncio.get_running_loop()
         loop.call_later(arrives_after_s, task.configured.set)
--- a/godwitshunt/picking/tests/region.py
+++ b/godwitshunt/picking/tests/region.py
@@ -165,8 +165,8 @@
             watch.own_prefixes,
             self.timer.now,
         )
-        record = watch.own().record
-        watch.own = lambda: OwnState(record, reports.make)
+        record = watch.own_state().record
+        watch.own_state = lambda: OwnState(record, reports.make)
         client = PickerClient(
             Neighbours(name, watch.region),
             reports,
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -125,7 +125,7 @@
     ) -> None:
         self.region = region
         self.control = control
-        self.own = own
+        self.own_state = own
         self.links = links
         self.timer = timer
         self.metrics = metrics
@@ -256,7 +256,7 @@
                 self.start_poll(address)
 
     @property
-    def is_young(self) -> bool:
+    def is_warming_up(self) -> bool:
         """True for a while after the start, as long as news is still coming."""
         return self.timer.now() - self.started_s < WARM_UP_S
 
@@ -273,7 +273,7 @@
 
     def period_s(self) -> float:
         """Return how often the first control VM is asked, at most."""
-        if self.is_young:
+        if self.is_warming_up:
             return WARM_UP_PERIOD_S - PERIOD_MARGIN_S
         calm = self.told_picker is not None
         period_s = CALM_PERIOD_S if calm else POLL_PERIOD_S
@@ -303,7 +303,7 @@
     def retry_initial_poll(self, address: Address) -> None:
         """Ask a control VM that never answered again, soon."""
         never = not self.contacts.for_control(str(address)).source
-        if never and self.is_young and self.subscription is not None:
+        if never and self.is_warming_up and self.subscription is not None:
             self.timer.after(FIRST_RETRY_S, partial(self.start_poll, address))
 
     def start_poll(self, address: Address) -> None:
@@ -316,7 +316,7 @@
         contact = self.contacts.for_control(control)
         if control != self.contacts.first(known, now_s):
             return question_to_another(contact, self.merged)
-        own = self.own()
+        own = self.own_state()
         told = ToldFirst(
             own.record,
             own.report(contact.source),
