--- a/godwitshunt/ingress/tests/test_authorization.py
+++ b/godwitshunt/ingress/tests/test_authorization.py
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize(
     ('is_warming_up', 'renews'), [(False, False), (True, True)]
 )
-async def test_vm_without_proof_refuses_at_once_unless_it_is_young(
+async def test_vm_without_proof_refuses_at_once_unless_warming_up(
     is_warming_up,
     renews,
 ):
