--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -68,7 +68,7 @@
     def record(present):
         removed_except.append(set(present))
 
-    recorder = SimpleNamespace(forget=record)
+    recorder = SimpleNamespace(remove_absent=record)
     view = RegistryView(upstreams={'i-1~1000': None})
     task = IngressTask.__new__(IngressTask)
     task.in_progress = 0
--- a/godwitshunt/routing/selection.py
+++ b/godwitshunt/routing/selection.py
@@ -80,7 +80,7 @@
     tokens_per_s: float
     run_s: float
 
-    def reading_s(self, tokens: float) -> float:
+    def prefill_s(self, tokens: float) -> float:
         """Return the seconds that reading tokens takes."""
         return tokens / self.tokens_per_s if self.tokens_per_s else 0.0
 
@@ -110,22 +110,22 @@
     urgent: bool = False
     objective_s: float = 0.0
 
-    def unread_tokens(self, *, kept: bool) -> int:
+    def unread_tokens(self, *, cached: bool) -> int:
         """Return what reading the prompt takes, in tokens of a short one.
 
         Parameters
         ----------
-        kept : bool
+        cached : bool
             True where the upstream keeps the shared parts.
 
         Examples
         --------
-        >>> Demand(50_000, 25_000).unread_tokens(kept=True)
+        >>> Demand(50_000, 25_000).unread_tokens(cached=True)
         40375
-        >>> Demand(383, 92).unread_tokens(kept=False)
+        >>> Demand(383, 92).unread_tokens(cached=False)
         384
         """
-        shared = self.shared_tokens if kept else 0
+        shared = self.shared_tokens if cached else 0
         pairs = self.prompt_tokens**2 - shared**2
         return self.prompt_tokens - shared + round(PAIR_TOKENS * pairs)
 
@@ -228,8 +228,10 @@
     """Add to the cost what reading parts again costs others."""
     if ranked.candidate.cached:
         return ranked
-    parts = demand.unread_tokens(kept=False) - demand.unread_tokens(kept=True)
-    again_s = READ_AGAIN_WEIGHT * speed.reading_s(parts)
+    parts = demand.unread_tokens(cached=False) - demand.unread_tokens(
+        cached=True
+    )
+    again_s = READ_AGAIN_WEIGHT * speed.prefill_s(parts)
     return replace(ranked, cost_s=ranked.cost_s + again_s)
 
 
@@ -279,18 +281,18 @@
     owns: bool,
 ) -> RankedCandidate:
     """Return a candidate with its prediction and its cost."""
-    unread = demand.unread_tokens(kept=owns or candidate.cached)
+    unread = demand.unread_tokens(cached=owns or candidate.cached)
     ahead = URGENT_WAIT_SHARE if demand.urgent else 1.0
     waiting = unread + ahead * candidate.pending_tokens
-    reading_s = speed.reading_s(waiting)
+    prefill_s = speed.prefill_s(waiting)
     over = max(0, candidate.in_flight + 1 - candidate.slots)
     queueing_s = over * speed.run_s / max(1, candidate.slots)
     crowd_s = 0.0
     if speed.tokens_per_s:
-        held_up = HOLD_UP_SHARE * speed.reading_s(unread)
+        held_up = HOLD_UP_SHARE * speed.prefill_s(unread)
         crowd_s = candidate.in_flight * (CROWDING_S + held_up)
         crowd_s += FULL_S if over else 0.0
-    raw_s = speed.first_s + reading_s + queueing_s + candidate.delay_s
+    raw_s = speed.first_s + prefill_s + queueing_s + candidate.delay_s
     predicted_s = max(speed.first_s, raw_s) + candidate.away_s
     # That a busy one was faster than predicted is no reason to prefer it.
     early_s = min(0.0, candidate.delay_s)
