--- a/godwitshunt/ingress/tests/test_feedback.py
+++ b/godwitshunt/ingress/tests/test_feedback.py
@@ -42,7 +42,7 @@
     recorder = recorder_at_load(in_flight)
     recorder.record(report, SERVICE, now_s=1.0)
     detector = recorder.upstreams.outliers.get('llm')
-    return detector is not None and detector.states['i-1'].failures > 0
+    return detector is not None and detector.states['i-1'].failure_share > 0
 
 
 @pytest.mark.parametrize(
