--- a/godwitshunt/ingress/crash_detector.py
+++ b/godwitshunt/ingress/crash_detector.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.quarantine import Loss, LostRequest, Quarantine
 from godwitshunt.settings import Address
@@ -56,7 +56,7 @@
     quarantine: Quarantine
     timer: Timer
     source: str | None = None
-    background: Background = field(default_factory=Background)
+    background: BackgroundTasks = field(default_factory=BackgroundTasks)
     unchecked: dict[str, list[LostRequest]] = field(default_factory=dict)
     checks: dict[str, CrashCheck] = field(default_factory=dict)
 
@@ -127,7 +127,7 @@
 
     def expire(self) -> None:
         """Drop checks older than `CHECK_TTL_S`."""
-        self.background.forget_done()
+        self.background.remove_done()
         now_s = self.timer.now()
         for incarnation, check in tuple(self.checks.items()):
             if now_s - check.at_s >= CHECK_TTL_S:
