--- a/godwitshunt/ingress/lifecycle.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -64,7 +64,7 @@
         The request.
     writer : AnswerWriter
         Writes the answer to the caller.
-    is_caller_gone : bool
+    caller_disconnected : bool
         True where the caller has disconnected.
     is_charged : bool
         True while one attempt is charged to the organisation's limit and has
@@ -77,7 +77,7 @@
     request: RoutedRequest
     writer: AnswerWriter
     retry_after_s: float = RETRY_AFTER_S
-    is_caller_gone: bool = False
+    caller_disconnected: bool = False
     is_charged: bool = False
     is_quarantined: bool = False
     is_probe: bool = False
@@ -116,13 +116,13 @@
         self.task = asyncio.current_task()
         now_s = self.context.timer.now()
         self.trace.record_stage(Stage.admitted, now_s)
-        channel.on_lost = self.cancel_for_lost_caller
+        channel.on_lost = self.cancel_on_disconnect
         try:
             step = await self.run_attempts()
             channel.on_lost = None
             await self.send_result(step)
         except asyncio.CancelledError:
-            if not self.is_caller_gone:
+            if not self.caller_disconnected:
                 raise
             self.task.uncancel()
             self.close_trace('caller gone')
@@ -130,9 +130,9 @@
         finally:
             channel.on_lost = None
 
-    def cancel_for_lost_caller(self) -> None:
+    def cancel_on_disconnect(self) -> None:
         """Cancel the request because its caller has disconnected."""
-        self.is_caller_gone = True
+        self.caller_disconnected = True
         self.task.cancel()
 
     async def run_attempts(self) -> Step:
--- a/godwitshunt/quarantine/table.py
+++ b/godwitshunt/quarantine/table.py
@@ -10,8 +10,8 @@
 # A crashed engine loses as many requests as it has slots; this holds twenty
 # crashes of engines with 48 slots.
 MAX_RECORDS = 1024
-# Crashes from which on entry VMs are told of a request and report its whole
-# answers.
+# Crashes from which on a request is reported to entry VMs, so that they record
+# its whole answers.
 SUSPECTED_CRASHES = 2
 # Records per message; the others are sent with the next one.
 MAX_DELTA_RECORDS = 256
--- a/godwitshunt/timer/signals.py
+++ b/godwitshunt/timer/signals.py
@@ -11,7 +11,7 @@
     """Set an event on the first SIGTERM or SIGINT; ignore later ones.
 
     After the first signal the process ignores both until it has exited.
-    Handlers of the event loop are removed while it closes and the interpreter
+    Handlers would be removed while the event loop closes and the interpreter
     exits; a second SIGTERM in those milliseconds would end the process with a
     signal's exit code, which operators take for an unclean shutdown.
     """
