--- a/godwitshunt/routing/meters.py
+++ b/godwitshunt/routing/meters.py
@@ -29,9 +29,9 @@
     Examples
     --------
     >>> bucket = TokenBucket(tokens=1.0, updated_s=0.0, rate_per_s=2.0)
-    >>> bucket.take(rate_per_s=2.0, burst=1.0, now=0.0)
+    >>> bucket.acquire(rate_per_s=2.0, burst=1.0, now=0.0)
     0.0
-    >>> bucket.take(rate_per_s=2.0, burst=1.0, now=0.0)
+    >>> bucket.acquire(rate_per_s=2.0, burst=1.0, now=0.0)
     0.5
     """
 
