--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -8,8 +8,8 @@
 )
 from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.authorization import Authorizer
+from godwitshunt.ingress.crash_detector import CrashWitness
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.witness import CrashWitness
 from godwitshunt.organisations import AdmissionShare
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
 from godwitshunt.picking.choices import ChoiceRequest
@@ -115,7 +115,7 @@
         """Tell whether this VM may send a cold upstream one more request."""
         cold = ask.service.cold_start
         return cold is None or self.budgets.cold.has_room(
-            upstream.told.incarnation,
+            upstream.announcement.incarnation,
             cold.requests_per_s,
             self.cold_share(),
             ask.now_s,
--- a/godwitshunt/ingress/learning.py
+++ b/godwitshunt/ingress/feedback.py
@@ -14,7 +14,7 @@
     Streamed,
 )
 from godwitshunt.ingress.requests import RoutedRequest
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.choices import HandOver, SendHere
 from godwitshunt.registry import UpstreamAnnounced
 from godwitshunt.telemetry import log_change
@@ -49,25 +49,25 @@
     @property
     def instance(self) -> str:
         """The upstream."""
-        return self.choice.upstream.told.incarnation
+        return self.choice.upstream.announcement.incarnation
 
     @property
-    def shown(self) -> Shown | None:
+    def shown(self) -> AttemptResult | None:
         """What it showed of the upstream; None for nothing at all."""
         match self.outcome:
             case _ if self.attempt.misdirected:
-                return Shown.replaced
+                return AttemptResult.replaced
             case None:
                 is_mute = self.first_s is None and self.took_s > MUTE_S
-                return Shown.nothing if is_mute else None
+                return AttemptResult.nothing if is_mute else None
             case _ if not self.attempt.connected:
-                return Shown.unreached
+                return AttemptResult.unreached
             case Answered() | Streamed() if self.first_s is not None:
-                return Shown.answered
+                return AttemptResult.answered
             case NotRun(arrived=True):
-                return Shown.full
+                return AttemptResult.full
             case Lost() | Failed():
-                return Shown.failed
+                return AttemptResult.failed
         return None
 
 
@@ -88,7 +88,7 @@
         if shown is None:
             return
         choice = made.choice
-        told = AttemptShown(
+        told = AttemptReport(
             instance=made.instance,
             service=self.request.service.name,
             shown=shown,
@@ -101,7 +101,7 @@
         now_s = self.context.timer.now()
         self.context.attempt_recorder.record(told, self.request.service, now_s)
         self.context.picker.report_attempt(told)
-        if shown is Shown.answered:
+        if shown is AttemptResult.answered:
             self.count_prompt(choice)
 
     def record_loss(self, made: UpstreamAttempt, lost: Lost) -> None:
@@ -110,7 +110,7 @@
         Repeats of a request have one fingerprint, whatever their ids. One
         that leaves ends as it said, whatever it runs.
         """
-        told = made.choice.upstream.told
+        told = made.choice.upstream.announcement
         if made.attempt.closed and not self.leaves(told):
             self.context.witness.record_loss(
                 self.request,
@@ -134,7 +134,7 @@
         """Tell whether an upstream said that it leaves."""
         watch = self.context.watch
         known = watch.view().upstreams.get(told.incarnation)
-        is_draining = known is not None and known.told.draining
+        is_draining = known is not None and known.announcement.draining
         return is_draining or watch.has_ended(told)
 
     def note_survival(self) -> None:
@@ -194,6 +194,6 @@
     """
     match choice:
         case SendHere(upstream=upstream):
-            return upstream.told.incarnation
+            return upstream.announcement.incarnation
         case HandOver(entry=entry):
             return f'{entry.region}/{entry.name}~{entry.session}'
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -25,7 +25,7 @@
 from godwitshunt.ingress.context import IngressContext
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.ingress.hops import read_hop
-from godwitshunt.ingress.life import RequestLife
+from godwitshunt.ingress.lifecycle import RequestLife
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.ingress.sending import SIGN_OF_LIFE_S
 from godwitshunt.picking.client import PickerClient
@@ -70,7 +70,7 @@
             self.current,
             context.authorizer,
             Random(),
-            lambda: context.watch.is_young,
+            lambda: context.watch.is_warming_up,
         )
         self.configured = asyncio.Event()
         self.draining = False
@@ -152,7 +152,7 @@
         now_s = self.context.timer.now()
         self.context.neighbours.record_entries(view.entries, now_s)
         self.context.neighbours.round_trips = self.context.watch.round_trips()
-        self.context.upstreams.forget(view.upstreams)
+        self.context.upstreams.remove_absent(view.upstreams)
         self.context.pool.forget(view.upstreams)
         self.context.budgets.cold.remove_absent(frozenset(view.upstreams))
         self.context.metrics.gauge('ingress_in_progress', self.in_progress)
@@ -227,7 +227,7 @@
 
     async def wait_for_revision(self) -> None:
         """Wait a moment for the first revision, while the VM is young."""
-        if self.active_revision is None and self.context.watch.is_young:
+        if self.active_revision is None and self.context.watch.is_warming_up:
             with suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_WAIT_S):
                     await self.configured.wait()
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -5,13 +5,13 @@
 import pytest
 
 from godwitshunt.exchange.requests import HttpRequest
+from godwitshunt.ingress.feedback import UpstreamAttempt
 from godwitshunt.ingress.header_names import HeaderNames
-from godwitshunt.ingress.learning import UpstreamAttempt
 from godwitshunt.ingress.outcomes import NotRun
 from godwitshunt.ingress.sending import Sender
 from godwitshunt.ingress.task import IngressTask
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.upstreams import Upstreams
 from godwitshunt.registry import RegistryView, UpstreamAnnounced
 from godwitshunt.routing.upstream_health import CONNECT_BACKOFF_S
@@ -91,16 +91,16 @@
     attempt = SimpleNamespace(misdirected=False, connected=connected)
     choice = SimpleNamespace(upstream=SimpleNamespace(announcement=TOLD))
     made = UpstreamAttempt(choice, attempt, NotRun('connect'), None, 0.1)
-    assert (made.shown is Shown.unreached) is not connected
+    assert (made.shown is AttemptResult.unreached) is not connected
     upstreams = Upstreams()
     attempt_recorder = AttemptRecorder(
         upstreams, RegistryView, lambda incarnation: None
     )
     if made.shown is not None:
         attempt_recorder.record(
-            AttemptShown('i-1', 'llm', made.shown), None, NOW_S
+            AttemptReport('i-1', 'llm', made.shown), None, NOW_S
         )
-    health = upstreams.of('i-1')
+    health = upstreams.health_of('i-1')
     missed = (health.connect_failed_s, health.down_until_s)
     assert (missed == (NOW_S, NOW_S + CONNECT_BACKOFF_S)) is not connected
 
@@ -112,5 +112,7 @@
     outcome = NotRun('status 421', arrived=True)
     made = UpstreamAttempt(None, attempt, outcome, None, 0.1)
     attempt_recorder = AttemptRecorder(Upstreams(), RegistryView, left.append)
-    attempt_recorder.record(AttemptShown('i-1', 'llm', made.shown), None, NOW_S)
+    attempt_recorder.record(
+        AttemptReport('i-1', 'llm', made.shown), None, NOW_S
+    )
     assert left == ['i-1']
--- a/godwitshunt/picking/attempt_recorder.py
+++ b/godwitshunt/picking/attempt_recorder.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from godwitshunt.manifest import Service
-from godwitshunt.picking.attempt_reports import AttemptShown, Shown
+from godwitshunt.picking.attempt_reports import AttemptReport, AttemptResult
 from godwitshunt.picking.upstreams import Upstreams, of_service
 from godwitshunt.registry import Load, RegistryView
 from godwitshunt.routing import outliers
@@ -36,18 +36,18 @@
     leave: Callable[[str], None]
 
     def record(
-        self, made: AttemptShown, service: Service, now_s: float
+        self, made: AttemptReport, service: Service, now_s: float
     ) -> None:
         """Learn from one attempt."""
-        health = self.upstreams.of(made.instance)
+        health = self.upstreams.health_of(made.instance)
         match made.shown:
-            case Shown.answered:
+            case AttemptResult.answered:
                 self.note_answer(made, service, now_s)
-            case Shown.replaced:
+            case AttemptResult.replaced:
                 self.leave(made.instance)
-            case Shown.unreached:
+            case AttemptResult.unreached:
                 health.record_connect_failure(now_s)
-            case Shown.full:
+            case AttemptResult.full:
                 health.full_until_s = now_s + FULL_BACKOFF_S
                 if self.has_room(made.instance):
                     self.record_outcome(made, outliers.Failed(), now_s)
@@ -56,7 +56,7 @@
 
     def note_answer(
         self,
-        made: AttemptShown,
+        made: AttemptReport,
         service: Service,
         now_s: float,
     ) -> None:
@@ -66,10 +66,10 @@
         it is busy must not be left out as an outlier, or the others would
         have to bear its load, and be left out in their turn.
         """
-        health = self.upstreams.of(made.instance)
+        health = self.upstreams.health_of(made.instance)
         health.record_response_time(made.first_s, made.predicted_s, now_s)
         if self.has_room(made.instance):
-            learned = self.upstreams.learned(service)
+            learned = self.upstreams.learned_speed(service)
             learned.note(made.first_s, made.took_s)
             if not made.was_held_up:
                 learned.note_reading(made.first_s, made.unread_tokens)
@@ -85,22 +85,22 @@
         upstream = self.view().upstreams.get(instance)
         if upstream is None:
             return False
-        return self.in_flight(instance) < upstream.told.slots
+        return self.in_flight(instance) < upstream.announcement.slots
 
     def in_flight(self, instance: str) -> int:
         """Return the requests of all VMs at an upstream."""
         others = self.view().loads.get(instance, NO_LOAD)
-        return others.in_flight + self.upstreams.of(instance).in_flight
+        return others.in_flight + self.upstreams.health_of(instance).in_flight
 
     def record_outcome(
         self,
-        made: AttemptShown,
+        made: AttemptReport,
         outcome: outliers.AttemptOutcome,
         now_s: float,
     ) -> None:
         """Count what an attempt showed, for the detection of outliers."""
         present = [
-            one.told.incarnation
+            one.announcement.incarnation
             for one in of_service(self.view(), made.service)
         ]
         exclusions = self.upstreams.record_outcome(
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -232,7 +232,7 @@
     def spend_limit(self, question: DestinationRequest, now_s: float) -> None:
         """Count a request that is given a place, here or elsewhere."""
         if question.organisation and not question.local:
-            self.limits.take(question.organisation, question.cost, now_s)
+            self.limits.charge(question.organisation, question.cost, now_s)
 
     def ask(
         self,
@@ -248,7 +248,9 @@
             urgent=not route.rank,
             objective_s=route.objective_s,
         )
-        quiet = known.routes.quiet.get((service.name, route.rank), frozenset())
+        quiet = known.routes.low_urgency.get(
+            (service.name, route.rank), frozenset()
+        )
         return ChoiceRequest(
             route=route,
             service=service,
@@ -268,7 +270,7 @@
         """Tell whether a cold upstream may get one more request."""
         cold = ask.service.cold_start
         return cold is None or self.cold.has_room(
-            upstream.told.incarnation,
+            upstream.announcement.incarnation,
             cold.requests_per_s,
             self.cold_share,
             ask.now_s,
@@ -279,7 +281,7 @@
         cold = ask.service.cold_start
         if choice.is_cold and cold is not None:
             self.cold.spend(
-                choice.upstream.told.incarnation,
+                choice.upstream.announcement.incarnation,
                 cold.requests_per_s,
                 self.cold_share,
                 ask.now_s,
@@ -295,7 +297,7 @@
         """Count what was given."""
         match choice:
             case SendHere(upstream=upstream, unread_tokens=tokens):
-                instance = upstream.told.incarnation
+                instance = upstream.announcement.incarnation
                 self.note_prompt(question.demand, instance, now_s)
                 number = self.ledger.reserve(
                     question.entry,
@@ -322,12 +324,12 @@
         """
         if demand.shared_tokens >= MIN_SHARED_TOKENS:
             read = CachedPrefix(demand.shared_key, instance, now_s)
-            self.prefixes.note(read)
+            self.prefixes.record(read)
 
 
 def route_for(question: DestinationRequest, routes: RouteTable) -> Route | None:
     """Return the route of a question, as it holds for its organisation."""
-    route = routes.of(question.host, question.path_prefix)
+    route = routes.find(question.host, question.path_prefix)
     if route is None or not question.organisation:
         return route
     organisation = routes.keys.by_name.get(question.organisation)
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -85,9 +85,9 @@
         self.reported: dict[str, frozenset[str]] = {}
         self.of_revision: Revision | None = None
         self.routes = RouteTable()
-        region = registry.place.region
+        region = registry.location.region
         tables = registry.tables
-        neighbours = Neighbours(str(registry.place.address), region)
+        neighbours = Neighbours(str(registry.location.address), region)
         self.picker = Picker(
             region=region,
             upstreams=Upstreams(),
@@ -143,11 +143,11 @@
         """Give no more places; entry VMs ask another picker, or none."""
         if self.subscription is not None:
             self.subscription.cancel()
-        self.registry.gives_places = False
+        self.registry.picker_active = False
 
     def begin(self, reason: str) -> None:
         """Give places from now on."""
-        self.registry.gives_places = True
+        self.registry.picker_active = True
         log_change('picking:began', reason=reason)
 
     def tick(self) -> None:
@@ -157,9 +157,9 @@
         view = self.registry.view()
         self.follow_revision(now_s)
         self.forget_absent()
-        self.picker.upstreams.forget(view.upstreams)
+        self.picker.upstreams.remove_absent(view.upstreams)
         self.picker.cold.remove_absent(frozenset(view.upstreams))
-        own = str(self.registry.place.address)
+        own = str(self.registry.location.address)
         self.picker.rank_among(
             own, tables.controls_in_region(self.picker.region)
         )
@@ -168,7 +168,7 @@
         # for nothing would look admitted through a silence of theirs.
         self.limits.standing(now_s)
         self.limits.forget(now_s)
-        for region in set(self.registry.place.regions.values()):
+        for region in set(self.registry.location.regions.values()):
             round_trip_s = tables.round_trip_s(region)
             if round_trip_s is not None:
                 trips = self.picker.neighbours.round_trips
@@ -209,9 +209,11 @@
         """Note which upstreams have shown an entry VM nothing for how long."""
         before = self.reported.get(name, frozenset())
         for instance in before - report.loads.keys():
-            self.picker.upstreams.of(instance).record_report(name, None, None)
+            self.picker.upstreams.health_of(instance).record_report(
+                name, None, None
+            )
         for instance, one in report.loads.items():
-            health = self.picker.upstreams.of(instance)
+            health = self.picker.upstreams.health_of(instance)
             health.record_report(name, one.oldest_s, one.last_received_s)
         self.reported[name] = frozenset(report.loads)
 
@@ -219,14 +221,14 @@
         """Wait no more for what entry VMs that are gone had sent."""
         for name in self.reported.keys() - self.registry.ledger.entries.keys():
             for instance in self.reported.pop(name):
-                health = self.picker.upstreams.of(instance)
+                health = self.picker.upstreams.health_of(instance)
                 health.record_report(name, None, None)
 
     def give(
         self, question: DestinationRequest, now_s: float
     ) -> Given | Unable:
         """Return where a request goes."""
-        if not self.registry.gives_places:
+        if not self.registry.picker_active:
             return Unable('what runs is not known yet')
         revision = self.follow_revision(now_s)
         if revision is None:
@@ -282,7 +284,7 @@
         case Unable(reason):
             return f'unable: {reason}'
         case Given(choice=SendHere(upstream=upstream)):
-            return upstream.told.incarnation
+            return upstream.announcement.incarnation
         case Given(choice=HandOver(entry=entry)):
             return f'{entry.region}/{entry.name}'
         case Given(choice=NoPlace(overloaded=True)):
--- a/godwitshunt/picking/tests/region.py
+++ b/godwitshunt/picking/tests/region.py
@@ -104,19 +104,19 @@
             remaining_s=4.0,
             **changes,
         )
-        return await self.client.place(question)
+        return await self.client.request_destination(question)
 
     def begin(self, instance: str, tokens: int = 0) -> int:
         """Send a request to an upstream; return its number."""
         self.sent += 1
-        health = self.reports.upstreams.of(instance)
+        health = self.reports.upstreams.health_of(instance)
         health.begin(self.sent, tokens, self.client.timer.now())
         self.client.schedule_report()
         return self.sent
 
     def end(self, instance: str, number: int, tokens: int = 0) -> None:
         """End a request."""
-        self.reports.upstreams.of(instance).end(number, tokens)
+        self.reports.upstreams.health_of(instance).end(number, tokens)
         self.client.schedule_report()
 
 
@@ -182,7 +182,7 @@
         await self.exchange()
         await self.exchange()
         for entry in entries:
-            await self.greet(entry.watch)
+            await self.poll_controls(entry.watch)
 
     def picker_of(self, entry: Entry) -> Address | None:
         """Return whom an entry VM asks."""
--- a/godwitshunt/registry/tests/deployment.py
+++ b/godwitshunt/registry/tests/deployment.py
@@ -9,8 +9,8 @@
 from godwitshunt.peer.messages import NotSent, OutcomeUnknown
 from godwitshunt.registry.gen.wire import ttypes
 from godwitshunt.registry.records import EntryRecord
-from godwitshunt.registry.relay import ControlLocation
 from godwitshunt.registry.service import RegistryService
+from godwitshunt.registry.table_updates import ControlLocation
 from godwitshunt.registry.watch import OwnState, RegistryWatch
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics
@@ -25,7 +25,7 @@
     return Address(host=f'10.0.0.{number}', port=7660)
 
 
-def place(number: int = 1, domain: str = 'a') -> ControlLocation:
+def control_location(number: int = 1, domain: str = 'a') -> ControlLocation:
     """Return where a control VM stands that knows no other."""
     return ControlLocation(address(number), REGIONS[domain], REGIONS, tuple)
 
@@ -136,13 +136,15 @@
     def start_control(self, number: int) -> RegistryService:
         """Return a control VM's registry that has just started."""
         links = CarriedLinks(address(number), f'c-{number}', self.network)
-        place = ControlLocation(
+        control_location = ControlLocation(
             address(number),
             REGIONS[self.domains[number]],
             REGIONS,
             lambda: self.addresses,
         )
-        service = RegistryService(place, links, self.timer, Metrics())
+        service = RegistryService(
+            control_location, links, self.timer, Metrics()
+        )
         links.subscribe(MessageKind.registry_poll, service.on_poll)
         return service
 
@@ -183,7 +185,7 @@
                 if other != address(number):
                     await self.controls[number].tables.ask(other)
 
-    async def greet(self, watch: RegistryWatch) -> None:
+    async def poll_controls(self, watch: RegistryWatch) -> None:
         """Let an entry VM ask all control VMs for the first time."""
         for number in self.controls:
             await self.poll(watch, number)
