--- a/godwitshunt/placement/__init__.py
+++ b/godwitshunt/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to upstreams with fencing numbers, and the weight store's bucket."""
+"""Orders to upstreams with fencing numbers, limited by the weight store."""
 
 from godwitshunt.placement.api import PlacementApi
 from godwitshunt.placement.bucket import BucketOptions, WeightBucket
--- a/godwitshunt/placement/api.py
+++ b/godwitshunt/placement/api.py
@@ -1,4 +1,4 @@
-"""What operators ask of placement over HTTP."""
+"""Operators' HTTP API for placement."""
 
 from dataclasses import asdict
 from enum import StrEnum
@@ -31,7 +31,7 @@
 
 
 class OrderAction(StrEnum):
-    """What an upstream can be told to do."""
+    """Actions that can be ordered from an upstream."""
 
     load_model = 'load-model'
     load_adapter = 'load-adapter'
@@ -40,19 +40,21 @@
 
 
 class OrderRequest(StrictModel):
-    """An order as an operator sends it.
+    """An order as sent by an operator.
 
     Parameters
     ----------
     order : str
-        A name that the operator's pipeline chooses; the same one is never
-        issued twice.
+        Name chosen by the operator's pipeline; an order is issued at most once
+        per name.
     upstream : str
-        The upstream's name.
+        Name of the upstream.
+    action : OrderAction
+        What the upstream has to do.
     subject : str
-        The model, adapter or version to load, or the role to take.
+        The model, adapter or version to load, or the new role.
     weight_units : int
-        Units that it takes from the weight store.
+        Units to acquire from the weight store.
     """
 
     order: Name
@@ -63,13 +65,13 @@
 
 
 class PlacementApi:
-    """The route for orders, to be added to the operators' API."""
+    """Endpoint for orders in the operators' API."""
 
     def __init__(self, task: PlacementTask) -> None:
         self.task = task
 
     async def order(self, request: OperatorRequest) -> OperatorAnswer:
-        """Commit an order; it is sent as soon as that is safe."""
+        """Commit an order; it is sent as soon as it is safe to do so."""
         try:
             order = parse_document(
                 BODY,
--- a/godwitshunt/placement/bucket.py
+++ b/godwitshunt/placement/bucket.py
@@ -1,10 +1,10 @@
-"""The weight store's token bucket, shared by the whole deployment; pure.
+"""Token bucket of the weight store for the whole deployment; no I/O.
 
-What was taken stands in the replicated log, while time passes on each leader's
-own monotonic clock. A new leader cannot know when the last one took; so it
-starts with an empty bucket. Over any stretch of time, through any number of
-leaders, the deployment then takes at most the burst plus the rate times that
-stretch.
+The replicated log contains the units acquired, but refills depend on each
+leader's own monotonic clock. A new leader cannot know when the previous one
+acquired units, so it starts with an empty bucket. Over any period, with any
+number of leaders, the deployment then acquires at most the burst plus the rate
+times the period.
 """
 
 from dataclasses import dataclass, replace
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True)
 class BucketOptions:
-    """What the weight store allows.
+    """Limits of the weight store.
 
     Parameters
     ----------
     units_per_s : float
-        Units that come back each second.
+        Refill rate in units per second.
     burst : float
-        Most units that are kept.
+        Capacity of the bucket in units.
     """
 
     units_per_s: float = 1.0
@@ -29,16 +29,16 @@
 
 @dataclass(frozen=True)
 class WeightBucket:
-    """A leader's view of the bucket.
+    """State of the bucket at a leader.
 
     Parameters
     ----------
     level : float
-        Units that may be taken.
+        Units available.
     updated_s : float
         Monotonic time of the level, in seconds.
     taken : int
-        Units ever taken, as the log said at that time.
+        Total units acquired according to the log at that time.
     """
 
     options: BucketOptions
@@ -48,11 +48,11 @@
 
     @classmethod
     def empty(cls, options: BucketOptions, taken: int, now: float) -> Self:
-        """Return the bucket that a new leader starts with."""
+        """Return the initial bucket of a new leader."""
         return cls(options, 0, now, taken)
 
     def observe(self, taken: int, now: float) -> Self:
-        """Return the bucket after time has passed and entries were applied.
+        """Return the bucket refilled to now, minus units acquired since.
 
         Examples
         --------
@@ -68,6 +68,6 @@
         )
 
     def wait_s(self, units: int) -> float:
-        """Return the seconds until that many units can be taken; 0 for now."""
+        """Return the seconds until that many units are available, or 0."""
         missing = max(0, units - self.level)
         return missing / self.options.units_per_s
--- a/godwitshunt/placement/decisions.py
+++ b/godwitshunt/placement/decisions.py
@@ -1,9 +1,9 @@
-"""Which orders a control replica may send now; pure.
+"""Decision which orders a control replica may send now; no I/O.
 
-An order that arrives late can undo a newer one: the upstream would load an old
-version and nobody would notice. Upstreams that check fencing numbers refuse
-it. For the others, only the leader sends, only under a live quorum lease, and
-a new leader waits until nothing of the last one can be on its way.
+A delayed order can undo a newer one: the upstream would load an old version
+unnoticed. Upstreams that check fencing numbers refuse it. For the others, only
+the leader sends, only under a valid quorum lease, and a new leader waits until
+no order of the previous one can still be in transit.
 """
 
 from collections.abc import Iterator, Mapping
@@ -14,22 +14,22 @@
 from godwitshunt.consensus import Leadership
 from godwitshunt.settings import Address
 
-# Longest time between the last check of the lease and the end of an order's
-# journey: the sender gives up and closes the connection by then.
+# Maximum time between the last check of the lease and the arrival of an order:
+# the sender times out and closes the connection by then.
 ORDER_TRANSIT_S = 5.0
-# An order is sent only where the lease lasts at least this much longer.
+# An order is sent only if the lease remains valid for more than this.
 LEASE_MARGIN_S = 0.05
 RETRY_PERIOD_S = 1.0
 
 
 @dataclass(frozen=True)
 class KnownUpstream:
-    """An upstream as entry VMs reported it.
+    """An upstream as reported by entry VMs.
 
     Parameters
     ----------
     honours_fencing : bool
-        Whether it refuses orders with an old fencing number.
+        Whether it refuses orders with an outdated fencing number.
     """
 
     name: str
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True)
 class Tenure:
-    """How long this replica has led without interruption.
+    """Period for which this replica has led without interruption.
 
     Parameters
     ----------
     term : int or None
-        The term that it leads; None where it does not lead.
+        The term that it leads; None if it does not lead.
     since_s : float
-        Monotonic time when it was first seen to lead that term.
+        Monotonic time when it was first observed to lead that term.
     """
 
     term: int | None = None
@@ -56,14 +56,16 @@
 
 @dataclass(frozen=True)
 class PlacementState:
-    """What this replica remembers of orders.
+    """State of this replica's orders in progress.
 
     Parameters
     ----------
+    tenure : Tenure
+        Current leadership of this replica.
     sending : frozenset of str
-        Upstreams with an order on its way.
-    retry_at : mapping
-        When an order that got no answer may be sent again.
+        Upstreams with an order in transit.
+    retry_at : mapping of str to float
+        Monotonic time when an unanswered order may be resent, by order.
     """
 
     tenure: Tenure = Tenure()
@@ -84,7 +86,7 @@
     leadership: Leadership,
     now: float,
 ) -> PlacementState:
-    """Return the state after a look at who leads."""
+    """Return the state for the current leadership."""
     term = leadership.term if leadership.is_leader else None
     if term == state.tenure.term:
         return state
@@ -98,12 +100,12 @@
     previous_lease_s: float,
     now: float,
 ) -> bool:
-    """Tell whether an order may leave for an upstream at this moment.
+    """Return whether an order may be sent to an upstream now.
 
     Parameters
     ----------
     previous_lease_s : float
-        Longest lease of the leader before, in seconds.
+        Maximum lease of the previous leader in seconds.
     """
     if not leadership.is_leader or state.tenure.term != leadership.term:
         return False
@@ -122,10 +124,10 @@
     previous_lease_s: float,
     now: float,
 ) -> Iterator[SendOrder]:
-    """Give the orders to send now: for each upstream its oldest open one.
+    """Yield the orders to send now: the oldest open one of each upstream.
 
-    Orders of one upstream go one after the other; two at once could arrive
-    in the other order, and the older would be the one that stays.
+    Orders to one upstream are sent sequentially; two concurrent ones could be
+    reordered, and the older one would take effect last.
     """
     for order in oldest_open_orders(control):
         upstream = upstreams.get(order.upstream)
@@ -138,7 +140,7 @@
 
 
 def oldest_open_orders(control: ControlState) -> tuple[OrderIssued, ...]:
-    """Return the oldest order of each upstream that is not finished."""
+    """Return the oldest unfinished order of each upstream."""
     oldest: dict[str, OrderIssued] = {}
     for order in control.orders.values():
         if order.ending is OrderEnding.open:
@@ -147,7 +149,7 @@
 
 
 def begin_sending(state: PlacementState, send: SendOrder) -> PlacementState:
-    """Return the state with an order on its way."""
+    """Return the state with an order in transit."""
     return replace(state, sending=state.sending | {send.upstream.name})
 
 
@@ -158,7 +160,7 @@
     *,
     answered: bool,
 ) -> PlacementState:
-    """Return the state after an order was answered, or got no answer."""
+    """Return the state after an order was answered or timed out."""
     retry_at = dict(state.retry_at)
     retry_at.pop(send.order.order, None)
     if not answered:
@@ -171,7 +173,7 @@
 
 
 def ending_from_status(status: int) -> OrderEnding:
-    """Return what an upstream's status means for an order.
+    """Return the result of an order for an upstream's HTTP status.
 
     Examples
     --------
--- a/godwitshunt/placement/placement.thrift
+++ b/godwitshunt/placement/placement.thrift
@@ -1,4 +1,4 @@
-/** Placement: what entry VMs tell control replicas of their upstreams. */
+/** Reports of entry VMs to control replicas on their region's upstreams. */
 namespace py wire
 
 struct UpstreamInfo {
@@ -6,7 +6,7 @@
   2: string region
   3: string host
   4: i32 port
-  /** Whether it refuses orders with an old fencing number. */
+  /** Whether it refuses orders with an outdated fencing number. */
   5: bool honours_fencing
 }
 
--- a/godwitshunt/placement/reports.py
+++ b/godwitshunt/placement/reports.py
@@ -1,4 +1,4 @@
-"""What entry VMs tell control replicas of the upstreams of their region."""
+"""Reports of entry VMs to control replicas on their region's upstreams."""
 
 from collections.abc import Callable, Iterable
 from typing import Self
@@ -15,7 +15,7 @@
 from godwitshunt.timer import Subscription, Timer
 
 REPORT_PERIOD_S = 5.0
-# Every VM of a region knows the same upstreams; that many report them.
+# All VMs of a region know the same upstreams, so only this many report them.
 REPORTERS_PER_REGION = 2
 
 
@@ -23,19 +23,19 @@
     """Return the message for the upstreams of a region."""
     wire_upstreams = [
         ttypes.UpstreamInfo(
-            name=one.name,
-            region=one.region,
-            host=one.address.host,
-            port=one.address.port,
-            honours_fencing=one.honours_fencing,
+            name=upstream.name,
+            region=upstream.region,
+            host=upstream.address.host,
+            port=upstream.address.port,
+            honours_fencing=upstream.honours_fencing,
         )
-        for one in upstreams
+        for upstream in upstreams
     ]
     return encode(ttypes.PlacementReport(upstreams=wire_upstreams))
 
 
 def decode_report(body: bytes) -> tuple[KnownUpstream, ...]:
-    """Read the upstreams of a report; raise FrameError where it is none."""
+    """Decode the upstreams of a report; raise FrameError if it is invalid."""
     report = decode(ttypes.PlacementReport, body)
     try:
         return tuple(
@@ -52,32 +52,34 @@
 
 
 def is_reporter(revision: Revision | None, name: str, region: str) -> bool:
-    """Tell whether a VM is one of those that report for its region."""
+    """Return whether a VM is one of its region's reporters."""
     if revision is None:
         return False
     entries = [vm.name for vm in revision.vms if vm.role.value == 'entry']
-    holders = [one for one in revision.holders if one.region == region]
+    holders = [entry for entry in revision.holders if entry.region == region]
     if not holders:
         return False
-    reporters = [one for one in holders[-1].names if one in entries]
+    reporters = [entry for entry in holders[-1].names if entry in entries]
     return name in reporters[:REPORTERS_PER_REGION]
 
 
 class PlacementReporter:
-    """Tells control replicas of upstreams, from some VMs of each region.
+    """Reports a region's upstreams to the control replicas.
+
+    Only `REPORTERS_PER_REGION` VMs of each region report.
 
     Parameters
     ----------
     settings : NodeSettings
-        Of the entry VM.
+        Settings of the entry VM.
     configuration : ConfigurationTask
-        Says which VMs report.
+        Determines which VMs report.
     upstreams : callable
-        Returns the region's upstreams as this VM knows them.
+        Returns the region's upstreams as known to this VM.
     links : PeerLinks
-        To the control replicas.
+        Connections to the control replicas.
     timer : Timer
-        Gives the period.
+        Triggers the reports.
     """
 
     def __init__(
@@ -104,20 +106,20 @@
         links: PeerLinks,
         timer: Timer,
     ) -> Self:
-        """Make the reporter of an entry VM."""
+        """Return the reporter of an entry VM."""
         return cls(settings, configuration, upstreams, links, timer)
 
     def start(self) -> None:
-        """Begin to report."""
+        """Start reporting."""
         self.subscription = self.timer.every(REPORT_PERIOD_S, self.report)
 
     async def close(self) -> None:
-        """Report no more."""
+        """Stop reporting."""
         if self.subscription is not None:
             self.subscription.cancel()
 
     def report(self) -> None:
-        """Tell every control replica, where this VM is a reporter."""
+        """Send a report to every control replica if this VM is a reporter."""
         revision = self.configuration.current
         settings = self.settings
         if not is_reporter(revision, settings.name, settings.region):
--- a/godwitshunt/placement/task.py
+++ b/godwitshunt/placement/task.py
@@ -1,4 +1,4 @@
-"""Sends committed orders to upstreams, where this replica leads."""
+"""Sending of committed orders to upstreams by the leading replica."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -60,7 +60,7 @@
     Parameters
     ----------
     wait_s : float
-        Seconds until it would have them.
+        Seconds until it has them.
     """
 
     wait_s: float
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class BurstExceeded:
-    """The order needs more units than the weight store ever gives at once."""
+    """The order needs more units than the weight store's burst."""
 
     units: int
     burst: float
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class UpstreamUnknown:
-    """No entry VM reported an upstream of this name lately."""
+    """No entry VM has recently reported an upstream of this name."""
 
     upstream: str
 
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True)
 class PlacementOptions:
-    """What placement is told by settings.
+    """Options of placement from the settings.
 
     Parameters
     ----------
     previous_lease_s : float
-        Longest lease of a leader before this one, in seconds.
+        Maximum lease of a previous leader in seconds.
     bucket : BucketOptions
-        What the weight store allows.
+        Limits of the weight store.
     """
 
     previous_lease_s: float
@@ -103,7 +103,7 @@
 
 
 class PlacementTask:
-    """Gives orders fencing numbers through the log, then sends them.
+    """Commits orders with fencing numbers to the log, then sends them.
 
     Parameters
     ----------
@@ -112,13 +112,13 @@
     service : ConfigurationService
         Commits commands and holds the control state.
     links : PeerLinks
-        Bring the reports of entry VMs.
+        Deliver the reports of entry VMs.
     timer : Timer
-        Gives the period.
+        Provides the time and the period.
     metrics : Metrics
-        Counts orders by ending.
+        Counts sent orders by result.
     call : callable
-        Sends one HTTP call to an upstream.
+        Sends one HTTP request to an upstream.
     """
 
     def __init__(
@@ -153,7 +153,7 @@
         timer: Timer,
         metrics: Metrics,
     ) -> Self:
-        """Make the task of a control replica."""
+        """Return the task of a control replica."""
         bucket = BucketOptions(
             settings.weight_store_units_per_s,
             settings.weight_store_burst,
@@ -162,25 +162,25 @@
         return cls(options, service, links, timer, metrics)
 
     def start(self) -> None:
-        """Take reports and begin to send what is due."""
+        """Start to receive reports and to send orders that are due."""
         self.links.subscribe(MessageKind.placement_report, self.handle_report)
         self.subscription = self.timer.every(TICK_S, self.tick)
 
     async def close(self) -> None:
-        """Send no more; orders on their way are given up."""
+        """Stop sending; cancel orders in transit."""
         if self.subscription is not None:
             self.subscription.cancel()
         await self.background.close()
 
     async def handle_report(self, sender: str, body: bytes) -> None:
-        """Note the upstreams of a region."""
+        """Record the upstreams of a report."""
         now = self.timer.now()
         for upstream in decode_report(body):
             self.upstreams[upstream.name] = upstream
             self.reported_s[upstream.name] = now
 
     def refresh(self) -> None:
-        """Note who leads, what the weight store has, and who is silent."""
+        """Update the leadership and the bucket, and expire old reports."""
         now = self.timer.now()
         taken = self.service.state.weight_units
         previous = self.placement.tenure
@@ -196,7 +196,7 @@
                 self.upstreams.pop(name)
 
     def tick(self) -> None:
-        """Begin to send what is due."""
+        """Start sending the orders that are due."""
         self.refresh()
         due = due_orders(
             self.placement,
@@ -222,7 +222,7 @@
         -------
         Result
             `OrderIssued` or `OrderConflict`; no order is committed without a
-            live quorum lease or without units of the weight store.
+            valid quorum lease or without units of the weight store.
         """
         self.refresh()
         leadership = self.service.log.leadership()
@@ -247,11 +247,11 @@
             self.reserved_units -= units
 
     def is_permitted(self, send: SendOrder) -> bool:
-        """Tell, as the last step before the first byte, whether to send.
+        """Return whether to send, as the last check before the first byte.
 
-        This process may have been frozen since it decided; by now another
-        leader may have sent a newer order. Monotonic time went on meanwhile,
-        so the lease shows it.
+        If this process was suspended after its decision, another leader may
+        have sent a newer order by now. Monotonic time advances meanwhile, so
+        the lease has expired in that case.
         """
         leadership = self.service.log.leadership()
         now = self.timer.now()
@@ -264,7 +264,7 @@
         )
 
     async def send(self, send: SendOrder) -> None:
-        """Send one order and commit what the upstream answered."""
+        """Send one order and commit its result."""
         call = order_call(send)
         answer = await self.call(
             send.upstream.address,
@@ -293,7 +293,7 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """Return orders and the weight store's level as JSON fields."""
+        """Return open orders and the weight store's level as JSON fields."""
         self.refresh()
         orders = self.service.state.orders.values()
         return {
@@ -309,7 +309,7 @@
 
 
 def order_call(send: SendOrder) -> HttpCall:
-    """Return the HTTP call that carries an order."""
+    """Return the HTTP request for an order."""
     order = send.order
     body = {
         'order': order.order,
--- a/godwitshunt/placement/tests/test_placement.py
+++ b/godwitshunt/placement/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Orders under failure: leases, fencing, lost answers, the weight store."""
+"""Tests of orders: leases, fencing, lost answers and the weight store."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -37,40 +37,40 @@
 from godwitshunt.telemetry import Metrics
 from godwitshunt.timer import VirtualTimerService
 
-OLD_LEASE_S = 1
-WAIT_S = 6.2  # the old lease, the longest transit, and two ticks
+PREVIOUS_LEASE_S = 1
+UNFENCED_WAIT_S = 6.2  # previous lease, maximum transit and two ticks
 BUCKET = BucketOptions(units_per_s=1, burst=4)
 
 
 @dataclass
-class Engine:
-    """An upstream that checks fencing numbers, or does not."""
+class FakeEngine:
+    """An upstream that may check fencing numbers."""
 
-    checks: bool
+    checks_fencing: bool
     highest: int = 0
-    obeyed: list[int] = field(default_factory=list)
-    gate: asyncio.Event = field(default_factory=asyncio.Event)
-    lose_answers: int = 0
+    applied: list[int] = field(default_factory=list)
+    resumed: asyncio.Event = field(default_factory=asyncio.Event)
+    answers_to_lose: int = 0
 
-    async def take(self, address, call, permit):
-        """Connect, wait while the sender is frozen, then take the order."""
-        await self.gate.wait()
+    async def handle_order(self, address, call, permit):
+        """Connect, wait while the sender is suspended, then apply the order."""
+        await self.resumed.wait()
         if not permit():
             return Err(NotPermitted(str(address)))
         number = int(dict(call.headers)['godwitshunt-fencing'])
-        if self.checks and number < self.highest:
+        if self.checks_fencing and number < self.highest:
             return Ok(HttpAnswer(412, b''))
         self.highest = number
-        self.obeyed.append(number)
-        if self.lose_answers:
-            self.lose_answers -= 1
+        self.applied.append(number)
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
             return Err(AnswerLost(str(address), 'reset'))
         return Ok(HttpAnswer(200, b''))
 
 
 @dataclass
 class SharedLog:
-    """One log with a leader that the test names."""
+    """A log whose leader is chosen by the test."""
 
     leader: str = 'c1'
     term: int = 1
@@ -79,199 +79,200 @@
 
 
 @dataclass
-class View:
-    """What one replica sees of the shared log."""
+class ReplicaLog:
+    """One replica's access to the shared log."""
 
-    shared: SharedLog
+    log: SharedLog
     name: str
 
     async def propose(self, payload):
-        """Commit where this replica leads a quorum."""
-        if self.shared.leader != self.name:
-            return Err(NotLeader(self.shared.leader))
-        if not self.shared.has_quorum:
+        """Commit if this replica leads and has a quorum."""
+        if self.log.leader != self.name:
+            return Err(NotLeader(self.log.leader))
+        if not self.log.has_quorum:
             return Err(CommitUnknown('no commit in time'))
-        for apply in self.shared.followers:
-            apply(1, self.shared.term, payload)
+        for apply in self.log.followers:
+            apply(1, self.log.term, payload)
         return Ok(Committed(1))
 
     def leadership(self) -> Leadership:
-        """Tell the lease of a leader with a quorum."""
-        leads = self.shared.leader == self.name
-        lease_s = 0.8 if leads and self.shared.has_quorum else 0
+        """Return the leadership; only a leader with a quorum has a lease."""
+        leads = self.log.leader == self.name
+        lease_s = 0.8 if leads and self.log.has_quorum else 0
         return Leadership(
-            self.shared.leader,
-            self.shared.term,
+            self.log.leader,
+            self.log.term,
             leads,
             lease_s,
-            0 if self.shared.has_quorum else 9,
+            0 if self.log.has_quorum else 9,
         )
 
-    def subscribe(self, apply, take, install) -> None:
-        """Follow the log."""
-        self.shared.followers.append(apply)
+    def subscribe(self, apply, take_snapshot, install) -> None:
+        """Subscribe to committed entries."""
+        self.log.followers.append(apply)
 
 
-class Replicas:
+class ReplicaPair:
     """Two control replicas and one upstream, on virtual time."""
 
-    def __init__(self, *, checks: bool) -> None:
+    def __init__(self, *, checks_fencing: bool) -> None:
         self.timer = VirtualTimerService()
         self.log = SharedLog()
-        self.engine = Engine(checks)
-        self.engine.gate.set()
+        self.engine = FakeEngine(checks_fencing)
+        self.engine.resumed.set()
         self.tasks = {
             name: self.make_task(name, port)
             for name, port in (('c1', 100), ('c2', 200))
         }
 
     def make_task(self, name: str, port: int) -> PlacementTask:
-        """Start one replica's placement."""
+        """Start the placement task of one replica."""
         record = vm(name, 'zagreb', port, 'control')
         links = Network().links(record.peer)
         service = ConfigurationService(
             record,
             (),
-            View(self.log, name),
+            ReplicaLog(self.log, name),
             links,
             self.timer,
             Metrics(),
         )
         service.machine.start()
         task = PlacementTask(
-            PlacementOptions(OLD_LEASE_S, BUCKET),
+            PlacementOptions(PREVIOUS_LEASE_S, BUCKET),
             service,
             links,
             self.timer,
             Metrics(),
-            self.engine.take,
+            self.engine.handle_order,
         )
         task.start()
         return task
 
     async def report(self) -> None:
-        """Tell both replicas of the upstream."""
+        """Report the upstream to both replicas."""
         address = Address(host='127.0.0.1', port=9)
-        view = UpstreamView(
+        upstream = UpstreamView(
             'engine',
             'zagreb',
             'chat',
             address,
             1,
-            honours_fencing=self.engine.checks,
+            honours_fencing=self.engine.checks_fencing,
         )
         for task in self.tasks.values():
-            await task.handle_report('entry', encode_report([view]))
+            await task.handle_report('entry', encode_report([upstream]))
 
     async def run(self, duration_s: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time."""
         for _ in range(round(duration_s * 10)):
             self.timer.advance(0.1)
             for _ in range(10):
                 await asyncio.sleep(0)
 
-    async def issue(self, name: str, at: str = 'c1', units: int = 0):
-        """Ask a replica for an order."""
+    async def issue(self, name: str, replica: str = 'c1', units: int = 0):
+        """Request an order from a replica."""
         order = IssueOrder(name, 'engine', 'load-model', 'review', units)
-        return await self.tasks[at].issue(order)
+        return await self.tasks[replica].issue(order)
 
     def elect(self, name: str) -> None:
         """Make another replica the leader of a higher term."""
         self.log.leader = name
         self.log.term += 1
 
-    def endings(self) -> list[OrderEnding]:
-        """Return what became of each order."""
+    def order_endings(self) -> list[OrderEnding]:
+        """Return the state of each order."""
         state = self.tasks['c2'].service.state
         return [order.ending for order in state.orders.values()]
 
 
-@pytest.mark.parametrize('checks', [True, False])
-async def test_order_waits_only_where_numbers_are_ignored(checks):
-    """A replica has just become leader; the last one's order may be under way.
+@pytest.mark.parametrize('checks_fencing', [True, False])
+async def test_order_is_delayed_only_without_fencing(checks_fencing):
+    """A new leader issues an order while an old one may be in transit.
 
-    An upstream that ignores numbers would obey that late order after ours.
+    An upstream that ignores fencing numbers would apply the delayed order of
+    the previous leader after the new one.
     """
-    replicas = Replicas(checks=checks)
+    replicas = ReplicaPair(checks_fencing=checks_fencing)
     await replicas.report()
     await replicas.run(0.2)
     issued = await replicas.issue('o1')
     assert issued.ok_value.fencing == 1
     await replicas.run(1)
-    assert bool(replicas.engine.obeyed) == checks
-    await replicas.run(WAIT_S)
-    assert replicas.engine.obeyed == [1]
-    assert replicas.endings() == [OrderEnding.done]
+    assert bool(replicas.engine.applied) == checks_fencing
+    await replicas.run(UNFENCED_WAIT_S)
+    assert replicas.engine.applied == [1]
+    assert replicas.order_endings() == [OrderEnding.done]
 
 
-@pytest.mark.parametrize('checks', [True, False])
-async def test_frozen_leader_wakes_with_an_order_under_way(checks):
-    """The leader is frozen after it connected, and wakes past its lease.
+@pytest.mark.parametrize('checks_fencing', [True, False])
+async def test_resumed_leader_does_not_send_old_order(checks_fencing):
+    """The leader is suspended after it connected, beyond its lease.
 
-    Meanwhile another leader finished that order and sent a newer one. If the
-    woken leader sent the old one, the upstream would go back to it.
+    Meanwhile another leader finishes that order and sends a newer one. If the
+    resumed leader sent the old one, it would undo the newer one.
     """
-    replicas = Replicas(checks=checks)
+    replicas = ReplicaPair(checks_fencing=checks_fencing)
     await replicas.report()
-    await replicas.run(WAIT_S)
-    frozen_at = replicas.engine.gate
-    frozen_at.clear()
+    await replicas.run(UNFENCED_WAIT_S)
+    leader_resumed = replicas.engine.resumed
+    leader_resumed.clear()
     await replicas.issue('o1')
     await replicas.run(0.2)
     replicas.elect('c2')
-    replicas.engine.gate = asyncio.Event()
-    replicas.engine.gate.set()
-    await replicas.issue('o2', at='c2')
-    await replicas.run(2 * WAIT_S)
-    frozen_at.set()
+    replicas.engine.resumed = asyncio.Event()
+    replicas.engine.resumed.set()
+    await replicas.issue('o2', replica='c2')
+    await replicas.run(2 * UNFENCED_WAIT_S)
+    leader_resumed.set()
     await replicas.run(1)
-    assert replicas.engine.obeyed == [1, 2]
-    assert replicas.endings() == [OrderEnding.done, OrderEnding.done]
+    assert replicas.engine.applied == [1, 2]
+    assert replicas.order_endings() == [OrderEnding.done, OrderEnding.done]
 
 
-async def test_frozen_between_check_and_write_is_refused_by_number():
-    """The freeze falls after the last check, so the old order arrives late.
+async def test_order_delayed_after_last_check_is_fenced():
+    """The leader is suspended after its last check, so the order is late.
 
-    Only an upstream that checks numbers can refuse it; it does.
+    Only an upstream that checks fencing numbers can refuse it.
     """
-    engine = Engine(checks=True, highest=2)
-    engine.gate.set()
-    replicas = Replicas(checks=True)
+    engine = FakeEngine(checks_fencing=True, highest=2)
+    engine.resumed.set()
+    replicas = ReplicaPair(checks_fencing=True)
     replicas.engine = engine
-    late = replicas.tasks['c1']
-    late.call = engine.take
+    frozen_task = replicas.tasks['c1']
+    frozen_task.call = engine.handle_order
     await replicas.report()
     await replicas.run(0.2)
     await replicas.issue('o1')
     await replicas.run(1)
-    assert not engine.obeyed
-    assert replicas.endings() == [OrderEnding.fenced]
+    assert not engine.applied
+    assert replicas.order_endings() == [OrderEnding.fenced]
 
 
-@pytest.mark.parametrize('lost', [1, 3])
-async def test_lost_answer_repeats_the_same_number(lost):
-    """The upstream obeys and its answer is lost, once or often.
+@pytest.mark.parametrize('lost_answers', [1, 3])
+async def test_lost_answer_resends_same_fencing_number(lost_answers):
+    """The upstream applies the order, but its answer is lost repeatedly.
 
-    The order is sent again under its own number, and ends once.
+    The order is resent with the same fencing number and finishes once.
     """
-    replicas = Replicas(checks=True)
-    replicas.engine.lose_answers = lost
+    replicas = ReplicaPair(checks_fencing=True)
+    replicas.engine.answers_to_lose = lost_answers
     await replicas.report()
     await replicas.run(0.2)
     await replicas.issue('o1')
     await replicas.issue('o1')
     await replicas.run(8)
-    assert len(replicas.engine.obeyed) == lost + 1
-    assert set(replicas.engine.obeyed) == {1}
-    assert replicas.endings() == [OrderEnding.done]
+    assert len(replicas.engine.applied) == lost_answers + 1
+    assert set(replicas.engine.applied) == {1}
+    assert replicas.order_endings() == [OrderEnding.done]
 
 
 async def test_no_order_without_quorum():
-    """The leader is cut from the other voters before it has noticed.
+    """The leader is partitioned from the other voters, undetected so far.
 
     It neither commits a new order nor sends an open one.
     """
-    replicas = Replicas(checks=True)
+    replicas = ReplicaPair(checks_fencing=True)
     await replicas.run(0.2)
     assert (await replicas.issue('o1')).err_value == UpstreamUnknown('engine')
     await replicas.report()
@@ -280,27 +281,27 @@
     await replicas.run(3)
     assert isinstance((await replicas.issue('o2')).err_value, NoQuorum)
     assert isinstance((await replicas.issue('o2', 'c2')).err_value, NotLeader)
-    assert not replicas.engine.obeyed
+    assert not replicas.engine.applied
     replicas.log.has_quorum = True
     await replicas.run(1)
-    assert replicas.engine.obeyed == [1]
+    assert replicas.engine.applied == [1]
 
 
-async def test_weight_store_limit_outlives_leaders():
-    """Orders come faster than the weight store allows, through elections.
+async def test_weight_store_limit_holds_across_leaders():
+    """Orders exceed the weight store's rate across elections.
 
-    A new leader starts with an empty bucket: the last one may have taken the
-    whole burst a moment ago.
+    A new leader starts with an empty bucket, since the previous one may have
+    just acquired the whole burst.
     """
-    replicas = Replicas(checks=True)
+    replicas = ReplicaPair(checks_fencing=True)
     await replicas.report()
     await replicas.run(3)
     first = await replicas.issue('o1', units=2)
     busy = await replicas.issue('o2', units=2)
     assert isinstance(first, Ok)
     assert isinstance(busy.err_value, WeightStoreBusy)
-    never = await replicas.issue('o3', units=5)
-    assert never.err_value == BurstExceeded(5, 4)
+    exceeded = await replicas.issue('o3', units=5)
+    assert exceeded.err_value == BurstExceeded(5, 4)
     replicas.elect('c2')
     busy = await replicas.issue('o2', 'c2', units=2)
     assert busy.err_value == WeightStoreBusy(2)
@@ -313,12 +314,12 @@
     st.data(),
 )
 @settings(max_examples=100, deadline=None, derandomize=True)
-def test_bucket_never_exceeds_burst_and_rate(takes, data):
-    """Whatever the timing of orders and elections, the store is not overrun."""
+def test_bucket_never_exceeds_burst_and_rate(requests, data):
+    """For any timing of orders and elections, the limit is not exceeded."""
     bucket = WeightBucket.empty(BUCKET, 0, 0)
     now = 0
     taken = 0
-    for pause_s, units in takes:
+    for pause_s, units in requests:
         now += pause_s
         if data.draw(st.booleans()):
             bucket = WeightBucket.empty(BUCKET, taken, now)
