--- a/godwitshunt/placement/bucket.py
+++ b/godwitshunt/placement/bucket.py
@@ -37,34 +37,34 @@
         Units available.
     updated_s : float
         Monotonic time of the level, in seconds.
-    taken : int
+    acquired : int
         Total units acquired according to the log at that time.
     """
 
     options: BucketOptions
     level: float
     updated_s: float
-    taken: int
+    acquired: int
 
     @classmethod
-    def empty(cls, options: BucketOptions, taken: int, now: float) -> Self:
+    def empty(cls, options: BucketOptions, acquired: int, now: float) -> Self:
         """Return the initial bucket of a new leader."""
-        return cls(options, 0, now, taken)
+        return cls(options, 0, now, acquired)
 
-    def observe(self, taken: int, now: float) -> Self:
+    def observe(self, acquired: int, now: float) -> Self:
         """Return the bucket refilled to now, minus units acquired since.
 
         Examples
         --------
         >>> bucket = WeightBucket.empty(BucketOptions(2, 10), 0, 0)
-        >>> bucket.observe(taken=3, now=4).level
+        >>> bucket.observe(acquired=3, now=4).level
         5.0
         """
         refill = max(0, now - self.updated_s) * self.options.units_per_s
         level = min(self.options.burst, self.level + refill)
-        spent = taken - self.taken
+        spent = acquired - self.acquired
         return replace(
-            self, level=float(level - spent), updated_s=now, taken=taken
+            self, level=float(level - spent), updated_s=now, acquired=acquired
         )
 
     def wait_s(self, units: int) -> float:
--- a/godwitshunt/placement/task.py
+++ b/godwitshunt/placement/task.py
@@ -182,14 +182,14 @@
     def refresh(self) -> None:
         """Update the leadership and the bucket, and expire old reports."""
         now = self.timer.now()
-        taken = self.service.state.weight_units
+        acquired = self.service.state.weight_units
         previous = self.placement.tenure
         leadership = self.service.log.leadership()
         self.placement = record_leadership(self.placement, leadership, now)
         if self.placement.tenure == previous:
-            self.bucket = self.bucket.observe(taken, now)
+            self.bucket = self.bucket.observe(acquired, now)
         else:
-            self.bucket = WeightBucket.empty(self.options.bucket, taken, now)
+            self.bucket = WeightBucket.empty(self.options.bucket, acquired, now)
         for name, reported_s in tuple(self.reported_s.items()):
             if now - reported_s > UPSTREAM_EXPIRY_S:
                 self.reported_s.pop(name)
--- a/godwitshunt/placement/tests/test_placement.py
+++ b/godwitshunt/placement/tests/test_placement.py
@@ -318,12 +318,12 @@
     """For any timing of orders and elections, the limit is not exceeded."""
     bucket = WeightBucket.empty(BUCKET, 0, 0)
     now = 0
-    taken = 0
+    acquired = 0
     for pause_s, units in requests:
         now += pause_s
         if data.draw(st.booleans()):
-            bucket = WeightBucket.empty(BUCKET, taken, now)
-        bucket = bucket.observe(taken, now)
+            bucket = WeightBucket.empty(BUCKET, acquired, now)
+        bucket = bucket.observe(acquired, now)
         if not bucket.wait_s(units):
-            taken += units
-        assert taken <= BUCKET.burst + BUCKET.units_per_s * now
+            acquired += units
+        assert acquired <= BUCKET.burst + BUCKET.units_per_s * now
--- a/godwitshunt/routing/tests/test_overload.py
+++ b/godwitshunt/routing/tests/test_overload.py
@@ -105,7 +105,7 @@
 
 
 def test_blocked_class_does_not_block_others():
-    """No upstream is free for an urgent request, but one may be for a long."""
+    """No upstream is free for an urgent request, but one is for a long one."""
     queues = make_queues()
     queues.offer(make_ticket(1), 0.0)
     queues.offer(make_ticket(2, 'long'), 0.0)
