--- a/benchmarks/route_load.py
+++ b/benchmarks/route_load.py
@@ -216,8 +216,8 @@
         """Count shared parts that are read where they are not kept."""
         key = job.demand.shared_key
         last = self.last_read.get(key)
-        kept = key in self.engines[name].kept
-        if last and not kept and self.now_s - last[1] < REUSE_S:
+        cached = key in self.engines[name].cached
+        if last and not cached and self.now_s - last[1] < REUSE_S:
             self.read_again += job.demand.shared_tokens
         self.last_read[key] = (name, self.now_s)
 
--- a/benchmarks/sheet_engine.py
+++ b/benchmarks/sheet_engine.py
@@ -95,7 +95,7 @@
     sheet: Sheet
     waiting: list[Job] = field(default_factory=list)
     running: list[Job] = field(default_factory=list)
-    kept: OrderedDict[int, int] = field(default_factory=OrderedDict)
+    cached: OrderedDict[int, int] = field(default_factory=OrderedDict)
     tokens_read: int = 0
 
     @classmethod
@@ -132,9 +132,9 @@
             job = self.waiting.pop(0)
             self.running.append(job)
             key = job.demand.shared_key
-            is_kept = key in self.kept
+            is_kept = key in self.cached
             if is_kept:
-                self.kept.move_to_end(key)
+                self.cached.move_to_end(key)
             shared = job.demand.shared_tokens if is_kept else 0
             job.unread = max(1, job.demand.prompt_tokens - shared)
 
@@ -142,8 +142,8 @@
         """Tell whether a request fits; kept parts yield to it."""
         running = sum(one.tokens for one in self.running)
         room = self.sheet.memory_tokens - running - job.demand.prompt_tokens
-        while self.kept and sum(self.kept.values()) > room:
-            self.kept.popitem(last=False)
+        while self.cached and sum(self.cached.values()) > room:
+            self.cached.popitem(last=False)
         return room >= 0 or not self.running
 
     def read_chunk(self, now_s: float) -> float:
@@ -158,8 +158,8 @@
         self.tokens_read += chunk
         demand = reader.demand
         if not reader.unread and demand.has_affinity:
-            self.kept[demand.shared_key] = demand.shared_tokens
-        return part.unread_tokens(kept=True) / self.sheet.tokens_per_s
+            self.cached[demand.shared_key] = demand.shared_tokens
+        return part.unread_tokens(cached=True) / self.sheet.tokens_per_s
 
     def make_token(self, job: Job, now_s: float) -> None:
         """Make one token of a request."""
--- a/godwitshunt/exchange/tests/test_kept_connections.py
+++ b/godwitshunt/exchange/tests/test_kept_connections.py
@@ -70,7 +70,7 @@
         pool = UpstreamPool(Metrics())
         for origin in ('i-1', 'i-2', ''):
             await ask(pool, address, origin)
-        pool.forget({'i-2'})
+        pool.remove_absent({'i-2'})
         kept = sorted(place.origin for place in pool.idle)
         pool.close()
         assert (len(made), kept) == (3, ['', 'i-2'])
--- a/godwitshunt/exchange/upstream_pool.py
+++ b/godwitshunt/exchange/upstream_pool.py
@@ -325,7 +325,7 @@
         kept = IdleConnection(call.channel, call.connection, now, limit_s)
         waiting.append(kept)
 
-    def forget(self, present: Container[str]) -> None:
+    def remove_absent(self, present: Container[str]) -> None:
         """Close the idle connections to those who are there no more."""
         for place in tuple(self.idle):
             if place.origin and place.origin not in present:
--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -153,7 +153,7 @@
         self.context.neighbours.record_entries(view.entries, now_s)
         self.context.neighbours.round_trips = self.context.watch.round_trips()
         self.context.upstreams.remove_absent(view.upstreams)
-        self.context.pool.forget(view.upstreams)
+        self.context.pool.remove_absent(view.upstreams)
         self.context.budgets.cold.remove_absent(frozenset(view.upstreams))
         self.context.metrics.gauge('ingress_in_progress', self.in_progress)
 
--- a/godwitshunt/ingress/tests/test_incarnations.py
+++ b/godwitshunt/ingress/tests/test_incarnations.py
@@ -68,7 +68,7 @@
     def note(present):
         forgotten.append(set(present))
 
-    forgets = SimpleNamespace(forget=note)
+    forgets = SimpleNamespace(remove_absent=note)
     view = RegistryView(upstreams={'i-1~1000': None})
     task = IngressTask.__new__(IngressTask)
     task.in_progress = 0
@@ -76,7 +76,7 @@
         watch=SimpleNamespace(view=lambda: view, round_trips=dict),
         timer=SimpleNamespace(now=lambda: NOW_S),
         neighbours=SimpleNamespace(record_entries=lambda entries, now_s: None),
-        upstreams=SimpleNamespace(forget=lambda present: None),
+        upstreams=SimpleNamespace(remove_absent=lambda present: None),
         budgets=SimpleNamespace(cold=forgets),
         pool=forgets,
         metrics=SimpleNamespace(gauge=lambda name, value: None),
--- a/godwitshunt/routing/selection.py
+++ b/godwitshunt/routing/selection.py
@@ -111,22 +111,22 @@
     urgent: bool = False
     objective_s: float = 0.0
 
-    def unread_tokens(self, *, kept: bool) -> int:
+    def unread_tokens(self, *, cached: bool) -> int:
         """Return the prefill work, in tokens of a short prompt.
 
         Parameters
         ----------
-        kept : bool
+        cached : bool
             Whether the upstream has the shared prefix cached.
 
         Examples
         --------
-        >>> Demand(50_000, 25_000).unread_tokens(kept=True)
+        >>> Demand(50_000, 25_000).unread_tokens(cached=True)
         40375
-        >>> Demand(383, 92).unread_tokens(kept=False)
+        >>> Demand(383, 92).unread_tokens(cached=False)
         384
         """
-        shared = self.shared_tokens if kept else 0
+        shared = self.shared_tokens if cached else 0
         pairs = self.prompt_tokens**2 - shared**2
         return self.prompt_tokens - shared + round(PAIR_TOKENS * pairs)
 
@@ -235,8 +235,8 @@
     """Add the cost that a repeated prefill of the prefix causes others."""
     if ranked.candidate.cached:
         return ranked
-    reread_tokens = demand.unread_tokens(kept=False) - demand.unread_tokens(
-        kept=True
+    reread_tokens = demand.unread_tokens(cached=False) - demand.unread_tokens(
+        cached=True
     )
     reread_s = REREAD_WEIGHT * speed.reading_s(reread_tokens)
     return replace(ranked, cost_s=ranked.cost_s + reread_s)
@@ -290,7 +290,7 @@
     owns: bool,
 ) -> RankedCandidate:
     """Return a candidate with its predicted time and cost."""
-    unread = demand.unread_tokens(kept=owns or candidate.cached)
+    unread = demand.unread_tokens(cached=owns or candidate.cached)
     ahead = URGENT_WAIT_SHARE if demand.urgent else 1.0
     waiting = unread + ahead * candidate.pending_tokens
     reading_s = speed.reading_s(waiting)
