--- a/godwitshunt/placement/tests/test_placement.py
+++ b/godwitshunt/placement/tests/test_placement.py
@@ -239,8 +239,8 @@
     engine.resumed.set()
     replicas = ReplicaPair(checks_fencing=True)
     replicas.engine = engine
-    frozen_task = replicas.tasks['c1']
-    frozen_task.call = engine.handle_order
+    suspended_task = replicas.tasks['c1']
+    suspended_task.call = engine.handle_order
     await replicas.report()
     await replicas.run(0.2)
     await replicas.issue('o1')
--- a/godwitshunt/routing/limits.py
+++ b/godwitshunt/routing/limits.py
@@ -280,8 +280,8 @@
         if self.grantors is None:
             return unmet_rates
         return {
-            caller: missing
-            for caller, missing in unmet_rates.items()
+            caller: unmet_rate
+            for caller, unmet_rate in unmet_rates.items()
             if peer in self.grantors.get(caller, ())
         }
 
@@ -289,11 +289,11 @@
         """Return the demand beyond the own quota, by caller, per second."""
         unmet_rates = {}
         for caller, meter in self.meters.items():
-            missing = meter.per_s(now) * DEMAND_HEADROOM - self.own_rate(
+            unmet_rate = meter.per_s(now) * DEMAND_HEADROOM - self.own_rate(
                 caller, now
             )
-            if missing > MIN_LEASE_PER_S:
-                unmet_rates[caller] = missing
+            if unmet_rate > MIN_LEASE_PER_S:
+                unmet_rates[caller] = unmet_rate
         return unmet_rates
 
     def grant(self, peer: str, now: float) -> dict[str, float]:
@@ -302,9 +302,9 @@
         if known is None or now - known.last_seen_s > LEASE_S:
             return {}
         granted = {}
-        for caller, missing in known.unmet.items():
+        for caller, unmet_rate in known.unmet.items():
             if caller in self.quotas:
-                rate = self.lease_rate(caller, peer, missing, now)
+                rate = self.lease_rate(caller, peer, unmet_rate, now)
                 if rate > MIN_LEASE_PER_S:
                     granted[caller] = rate
         for caller, rate in granted.items():
@@ -316,7 +316,7 @@
         self,
         caller: str,
         peer: str,
-        missing: float,
+        unmet_rate: float,
         now: float,
     ) -> float:
         """Return the rate to lease, limited by what other leases leave."""
@@ -328,7 +328,7 @@
             if now - other.last_seen_s <= LEASE_S
         )
         target = min(
-            missing, self.spare_rate(caller, now) * missing / requested
+            unmet_rate, self.spare_rate(caller, now) * unmet_rate / requested
         )
         free = max(0.0, self.own_rate(caller, now) - self.reserved_rate(caller))
         return min(target, active_rate + free)
--- a/godwitshunt/routing/quotas.py
+++ b/godwitshunt/routing/quotas.py
@@ -2,7 +2,7 @@
 
 The directory sends a caller's requests to the VMs that rank highest for its
 name. The same ranking divides its limit, so that the quota is where the demand
-arrives, and a VM that needs more knows which peers to query.
+arrives, and a VM that needs more knows which peers to request leases from.
 """
 
 from collections.abc import Mapping
--- a/godwitshunt/routing/selection.py
+++ b/godwitshunt/routing/selection.py
@@ -287,28 +287,28 @@
     candidate: Candidate,
     demand: Demand,
     speed: ServiceSpeed,
-    owns: bool,
+    is_owner: bool,
 ) -> RankedCandidate:
     """Return a candidate with its predicted time and cost."""
-    unread = demand.unread_tokens(cached=owns or candidate.cached)
-    ahead = URGENT_WAIT_SHARE if demand.urgent else 1.0
-    waiting = unread + ahead * candidate.pending_tokens
+    unread = demand.unread_tokens(cached=is_owner or candidate.cached)
+    pending_share = URGENT_WAIT_SHARE if demand.urgent else 1.0
+    waiting = unread + pending_share * candidate.pending_tokens
     reading_s = speed.reading_s(waiting)
     overflow = max(0, candidate.in_flight + 1 - candidate.slots)
     queueing_s = overflow * speed.run_s / max(1, candidate.slots)
-    crowd_s = 0.0
+    crowding_s = 0.0
     if speed.tokens_per_s:
         stream_delay_s = STREAM_DELAY_SHARE * speed.reading_s(unread)
-        crowd_s = candidate.in_flight * (
+        crowding_s = candidate.in_flight * (
             CROWDING_PER_REQUEST_S + stream_delay_s
         )
-        crowd_s += FULL_PENALTY_S if overflow else 0.0
+        crowding_s += FULL_PENALTY_S if overflow else 0.0
     raw_s = speed.first_s + reading_s + queueing_s + candidate.delay_s
     predicted_s = max(speed.first_s, raw_s) + candidate.away_s
     # A negative delay does not lower the cost: that a busy upstream was faster
     # than predicted is no reason to prefer it.
     early_s = min(0.0, candidate.delay_s)
-    cost_s = predicted_s - early_s + crowd_s + candidate.penalty_s
+    cost_s = predicted_s - early_s + crowding_s + candidate.penalty_s
     return RankedCandidate(candidate, predicted_s, cost_s, unread)
 
 
--- a/godwitshunt/routing/tests/test_selection.py
+++ b/godwitshunt/routing/tests/test_selection.py
@@ -80,7 +80,7 @@
 
 
 def test_load_peak_overflows_to_idle_region():
-    """One region has a load peak while another one is idle."""
+    """One region has 2.3 times its usual load while another one is idle."""
     local_engines = [make_engine(number, in_flight=30) for number in range(4)]
     remote_engines = [
         make_engine(9, region='tvm', in_flight=2, away_s=ROUND_TRIP_S)
@@ -104,9 +104,9 @@
     Nine in ten of such requests got their first event within 0.4 s. When they
     were predicted to take over a second, a quarter was refused needlessly.
     """
-    with_busy_owner = make_engine(1, in_flight=in_flight, pending=10 * 383)
+    full_engine = make_engine(1, in_flight=in_flight, pending=10 * 383)
     objective_s = 0.8
-    assert rank([with_busy_owner], SHORT, ENGINE)[0].predicted_s < objective_s
+    assert rank([full_engine], SHORT, ENGINE)[0].predicted_s < objective_s
 
 
 def test_early_answers_do_not_attract_requests():
@@ -181,8 +181,8 @@
     """An engine with the prompt cached is slightly busier than an idle one.
 
     Prefilling 13,300 tokens again at the idle one would delay all requests
-    there and evict other prompts. Only if the first one would miss the
-    objective is the idle one better.
+    there and evict other prompts. The idle one is better only if the first
+    one has no slack.
     """
     holder = make_engine(1, in_flight=25, pending=pending, cached=True)
     assert (
