--- a/godwitshunt/picking/chooser.py
+++ b/godwitshunt/picking/chooser.py
@@ -101,7 +101,7 @@
         limit_s = min(
             ask.remaining_s,
             ask.route.objective_s * LONGEST_WAIT_SHARE
-            + speed.reading_s(best.unread_tokens),
+            + speed.prefill_s(best.unread_tokens),
         )
         if best.predicted_s > limit_s:
             over_s = best.predicted_s - ask.route.objective_s
--- a/godwitshunt/routing/selection.py
+++ b/godwitshunt/routing/selection.py
@@ -81,7 +81,7 @@
     tokens_per_s: float
     run_s: float
 
-    def reading_s(self, tokens: float) -> float:
+    def prefill_s(self, tokens: float) -> float:
         """Return the seconds to prefill some tokens."""
         return tokens / self.tokens_per_s if self.tokens_per_s else 0.0
 
@@ -238,7 +238,7 @@
     reread_tokens = demand.unread_tokens(cached=False) - demand.unread_tokens(
         cached=True
     )
-    reread_s = REREAD_WEIGHT * speed.reading_s(reread_tokens)
+    reread_s = REREAD_WEIGHT * speed.prefill_s(reread_tokens)
     return replace(ranked, cost_s=ranked.cost_s + reread_s)
 
 
@@ -293,17 +293,17 @@
     unread = demand.unread_tokens(cached=is_owner or candidate.cached)
     pending_share = URGENT_WAIT_SHARE if demand.urgent else 1.0
     waiting = unread + pending_share * candidate.pending_tokens
-    reading_s = speed.reading_s(waiting)
+    prefill_s = speed.prefill_s(waiting)
     overflow = max(0, candidate.in_flight + 1 - candidate.slots)
     queueing_s = overflow * speed.run_s / max(1, candidate.slots)
     crowding_s = 0.0
     if speed.tokens_per_s:
-        stream_delay_s = STREAM_DELAY_SHARE * speed.reading_s(unread)
+        stream_delay_s = STREAM_DELAY_SHARE * speed.prefill_s(unread)
         crowding_s = candidate.in_flight * (
             CROWDING_PER_REQUEST_S + stream_delay_s
         )
         crowding_s += FULL_PENALTY_S if overflow else 0.0
-    raw_s = speed.first_s + reading_s + queueing_s + candidate.delay_s
+    raw_s = speed.first_s + prefill_s + queueing_s + candidate.delay_s
     predicted_s = max(speed.first_s, raw_s) + candidate.away_s
     # A negative delay does not lower the cost: that a busy upstream was faster
     # than predicted is no reason to prefer it.
