--- a/godwitshunt/claims/holder_peers.py
+++ b/godwitshunt/claims/holder_peers.py
@@ -55,7 +55,7 @@
         self.metrics = metrics
         self.addresses: dict[str, Address] = {}
         self.background_tasks = BackgroundTasks()
-        self.recoveries: set[GenerationId] = set()
+        self.active_recoveries: set[GenerationId] = set()
 
     def start(self) -> None:
         """Start to answer epoch queries and recovering peers."""
@@ -63,7 +63,7 @@
         self.links.subscribe(MessageKind.claim_recovery, self.handle_call)
 
     async def close(self) -> None:
-        """End the questions under way."""
+        """Cancel pending queries and recoveries."""
         await self.background_tasks.close()
 
     async def handle_call(self, sender: str, body: bytes) -> bytes | None:
@@ -91,9 +91,11 @@
         newest = dict(sorted(self.table.holder_sets))
         for generation in newest.items():
             holder = self.table.holders[generation]
-            for peer in self.fellows(self.table.sets[generation]):
+            for peer in self.reachable_peers(
+                self.table.holder_sets[generation]
+            ):
                 self.background_tasks.run(
-                    self.ask_epoch(generation, holder, peer)
+                    self.exchange_epoch(generation, holder, peer)
                 )
 
     async def exchange_epoch(
@@ -121,13 +123,13 @@
             if name != self.name and name in self.addresses
         ]
 
-    def recover_all(self) -> None:
-        """Begin the recovery of each generation that needs it."""
-        waiting = self.table.recovering()
-        self.metrics.gauge('claims_recovering_generations', len(waiting))
-        for generation in waiting:
-            if generation not in self.recoveries:
-                self.recoveries.add(generation)
+    def start_recoveries(self) -> None:
+        """Start the recovery of each generation that needs one."""
+        recovering = self.table.recovering_generations()
+        self.metrics.gauge('claims_recovering_generations', len(recovering))
+        for generation in recovering:
+            if generation not in self.active_recoveries:
+                self.active_recoveries.add(generation)
                 self.background_tasks.run(self.recover(generation))
 
     async def recover(self, generation: GenerationId) -> None:
--- a/godwitshunt/claims/stamps.py
+++ b/godwitshunt/claims/stamps.py
@@ -41,8 +41,8 @@
 
     def __init__(self, settings: NodeSettings, client: HolderClient) -> None:
         self.settings = settings
-        self.links = links
-        self.sets: tuple[HolderSet, ...] = ()
+        self.client = client
+        self.holder_sets: tuple[HolderSet, ...] = ()
         self.background_tasks = BackgroundTasks()
         self.subscriptions: list[Subscription] = []
 
@@ -104,7 +104,7 @@
             generation = (holder_set.region, holder_set.generation)
             if self.epoch_age_s(generation) < EPOCH_POLL_INTERVAL_S:
                 return
-            self.background_tasks.run(self.hear_epoch(one))
+            self.background_tasks.run(self.query_epoch(holder_set))
 
     async def query_epoch(self, holder_set: HolderSet) -> None:
         """Query every holder of a set for its epoch.
--- a/godwitshunt/claims/task.py
+++ b/godwitshunt/claims/task.py
@@ -70,9 +70,9 @@
         self.holder_sets: dict[tuple[str, int], HolderSet] = {}
         self.stamp_source = KeyStampSource(settings, self.holder_client)
         self.granted: dict[str, Attempt] = {}
-        self.ballots: list[Ballot] = []
-        # Keys whose ending is being told to the holders.
-        self.settling: set[str] = set()
+        self.active_drivers: list[ClaimDriver] = []
+        # Keys whose run result or release is being sent to the holders.
+        self.settling_keys: set[str] = set()
         self.background_tasks = BackgroundTasks()
 
     @classmethod
@@ -96,10 +96,10 @@
         self.stamp_source.start()
 
     async def close(self) -> None:
-        """Stop voting; claims under way are withdrawn by their callers."""
-        await self.stamps.close()
+        """Stop voting; callers withdraw their own claims in progress."""
+        await self.stamp_source.close()
         await self.background_tasks.close()
-        await self.links.background_tasks.close()
+        await self.holder_client.background_tasks.close()
         await self.holder.close()
 
     def apply_revision(self, revision: Revision) -> None:
@@ -253,8 +253,8 @@
             self.settling_keys.discard(key)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Have holders forget an attempt that never runs."""
-        self.background_tasks.run(self.tell(Release(attempt)))
+        """Release an attempt that will not run, in the background."""
+        self.background_tasks.run(self.notify_holders(Release(attempt)))
 
     async def notify_holders(self, request: Finish | Release) -> None:
         """Send to every holder; return once a majority of sends is complete.
@@ -269,7 +269,9 @@
         completed = asyncio.Semaphore(0)
         names = holder_set.names
         for holder in names:
-            self.background_tasks.run(self.tell_holder(holder, request, told))
+            self.background_tasks.run(
+                self.notify_holder(holder, request, completed)
+            )
         for _ in range(majority(len(names))):
             await completed.acquire()
 
--- a/godwitshunt/claims/tests/test_task.py
+++ b/godwitshunt/claims/tests/test_task.py
@@ -200,7 +200,7 @@
     for name in failed:
         if fault == 'killed':
             region.kill(name)
-        elif how == 'frozen':
+        elif fault == 'frozen':
             region.network.stalled.add(('a', name))
         else:
             region.network.partitioned.add((name, 'a'))
