--- a/godwitshunt/placement/api.py
+++ b/godwitshunt/placement/api.py
@@ -27,7 +27,7 @@
     WeightStoreBusy,
 )
 
-MAX_SUBJECT = 256
+MAX_SUBJECT_CHARACTERS = 256
 
 
 class OrderAction(StrEnum):
@@ -60,7 +60,7 @@
     order: Name
     upstream: Name
     action: OrderAction
-    subject: str = Field(min_length=1, max_length=MAX_SUBJECT)
+    subject: str = Field(min_length=1, max_length=MAX_SUBJECT_CHARACTERS)
     weight_units: int = Field(default=0, ge=0)
 
 
--- a/godwitshunt/routing/candidates.py
+++ b/godwitshunt/routing/candidates.py
@@ -28,7 +28,7 @@
 
 # An owner gets requests while its slot use is below this multiple of the mean.
 LOAD_BOUND = 1.25
-AFFINITY_DEPTH = 4
+AFFINITY_DEPTH_BLOCKS = 4
 # Share of the prompt that an owner is assumed to have cached.
 ASSUMED_OWNER_SHARE = 0.5
 RANDOM_CANDIDATES = 2
@@ -48,7 +48,7 @@
     The first block would send all requests with the same system prompt to one
     owner; the last block is unique to each request.
     """
-    return blocks[min(len(blocks), AFFINITY_DEPTH) - 1]
+    return blocks[min(len(blocks), AFFINITY_DEPTH_BLOCKS) - 1]
 
 
 def usable_group(
--- a/godwitshunt/routing/index.py
+++ b/godwitshunt/routing/index.py
@@ -19,6 +19,7 @@
 # Service and model; the model is None for plain services.
 GroupKey = tuple[str, str | None]
 
+# Owners ranked and cached for each prefix key, and the number of cached keys.
 OWNERS_PER_KEY = 16
 MAX_CACHED_KEYS = 4096
 
--- a/godwitshunt/routing/policy.py
+++ b/godwitshunt/routing/policy.py
@@ -40,7 +40,8 @@
 
 SHORTEST_WAIT_S = 0.05
 LONGEST_WAIT_S = 0.5
-WAIT_GROWTH = 0.1
+# The delay between decisions is this share of the time waited so far.
+WAIT_GROWTH_RATIO = 0.1
 
 # Cache derived from the last view. It only depends on the view passed to each
 # decision, so decisions remain functions of their inputs.
@@ -283,7 +284,7 @@
     A hundred queued jobs that were each decided twenty times a second would
     cost the VM more time than its requests.
     """
-    grown_s = WAIT_GROWTH * request.waited_s
+    grown_s = WAIT_GROWTH_RATIO * request.waited_s
     bounded_s = min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, grown_s))
     return bounded_s * random.uniform(0.5, 1.5)
 
--- a/godwitshunt/routing/retry_window.py
+++ b/godwitshunt/routing/retry_window.py
@@ -82,8 +82,10 @@
             VMs that may retry requests of this service.
         """
         self.expire(now_s)
-        part = floor(self.bounds.allowance * ALLOWANCE_SHARE / max(1, vms))
-        limit = self.bounds.share * len(self.first_tries) + part
+        own_allowance = floor(
+            self.bounds.allowance * ALLOWANCE_SHARE / max(1, vms)
+        )
+        limit = self.bounds.share * len(self.first_tries) + own_allowance
         if len(self.retries) + 1 > limit:
             return False
         self.retries.append(now_s)
--- a/godwitshunt/routing/tests/test_policy.py
+++ b/godwitshunt/routing/tests/test_policy.py
@@ -218,7 +218,7 @@
 
 
 def test_requests_sent_since_the_report_count():
-    """Reports lag by seconds; a VM must not overload an idle upstream."""
+    """Reports lag, so a VM must count what it sent since the last one."""
     view = RegionView(
         'kochi',
         (engine('e1', sent_since=7, sent_tokens_since=9000), engine('e2')),
