--- a/godwitshunt/routing/limits.py
+++ b/godwitshunt/routing/limits.py
@@ -28,7 +28,7 @@
 # while it waits for its leases to end.
 RESERVED_SHARE = 0.1
 # Quota wanted, as a multiple of the measured demand.
-DEMAND_HEADROOM_FACTOR = 2.0
+HEADROOM_RATIO = 2.0
 MIN_LEASE_PER_S = 0.01
 
 
@@ -289,9 +289,9 @@
         """Return the demand beyond the own quota, by caller, per second."""
         unmet_rates = {}
         for caller, meter in self.meters.items():
-            unmet_rate = meter.per_s(
-                now
-            ) * DEMAND_HEADROOM_FACTOR - self.own_rate(caller, now)
+            unmet_rate = meter.per_s(now) * HEADROOM_RATIO - self.own_rate(
+                caller, now
+            )
             if unmet_rate > MIN_LEASE_PER_S:
                 unmet_rates[caller] = unmet_rate
         return unmet_rates
@@ -337,9 +337,7 @@
         """Return the part of the own quota that own demand does not need."""
         quota = self.quotas[caller].rate_per_s
         meter = self.meters.get(caller)
-        demand = (
-            0.0 if meter is None else meter.per_s(now) * DEMAND_HEADROOM_FACTOR
-        )
+        demand = 0.0 if meter is None else meter.per_s(now) * HEADROOM_RATIO
         return quota - min(quota, max(demand, self.reserved_rate(caller)))
 
     def reserved_rate(self, caller: str) -> float:
