--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -27,17 +27,17 @@
     pack_document,
     revision_of,
     unpack_document,
-    vm_entry,
+    vm_to_entry,
 )
-from godwitshunt.configuration.following import Following, take_news
 from godwitshunt.configuration.history import (
-    KEPT_DOCUMENTS,
-    Held,
+    MAX_DOCUMENTS,
+    DocumentRevision,
     RevisionHistory,
 )
 from godwitshunt.configuration.replicated_log import SingleLog
 from godwitshunt.configuration.revision import VmRecord, VmRole
 from godwitshunt.configuration.service import ConfigurationService
+from godwitshunt.configuration.sync_state import SyncState, apply_update
 from godwitshunt.configuration.task import ConfigurationTask
 from godwitshunt.manifest import Manifest
 from godwitshunt.peer import MessageKind, PeerLinks, PeerOptions, encode
@@ -129,7 +129,7 @@
 
 def with_vms(document: Document, count: int) -> Document:
     """Return a document with that many VMs."""
-    vms = {f'entry-{one}': vm_entry(make_vm(one)) for one in range(count)}
+    vms = {f'entry-{one}': vm_to_entry(make_vm(one)) for one in range(count)}
     return document.with_section('vms', vms)
 
 
@@ -160,19 +160,19 @@
         pack(diff(base, target)),
     )
     history = RevisionHistory()
-    history.add(Held(1, digest_of(base), base))
-    following = Following(history.newest)
-    history.add(Held(2, digest_of(target), target))
-    delta = history.news_for(following.base_revision, 0)
-    whole = history.news_for(0, 0)
+    history.add(DocumentRevision(1, digest_of(base), base))
+    sync_state = SyncState(history.newest)
+    history.add(DocumentRevision(2, digest_of(target), target))
+    delta = history.make_update(sync_state.base_revision, 0)
+    whole = history.make_update(0, 0)
     return Cost(
         whole_bytes=len(encode(whole)),
         delta_bytes=len(encode(delta)),
         accept_ms=least_ms(lambda: apply_command(state, command)),
         encode_ms=least_ms(lambda: pack(diff(base, target))),
-        take_ms=least_ms(lambda: take_news(following, delta, 0)),
+        take_ms=least_ms(lambda: apply_update(sync_state, delta, 0)),
         validate_ms=least_ms(lambda: revision_of(2, target)),
-        take_whole_ms=least_ms(lambda: take_news(Following(), whole, 0)),
+        take_whole_ms=least_ms(lambda: apply_update(SyncState(), whole, 0)),
     )
 
 
@@ -271,8 +271,8 @@
     """Send heartbeats one after the other and divide the time."""
     kind = MessageKind.vm_heartbeat
     # The first introduces the VM, the second takes the revision.
-    await task.ask_one(control, kind)
-    await task.ask_one(control, kind)
+    await task.poll_one(control, kind)
+    await task.poll_one(control, kind)
     body = encode(task.heartbeat())
     reply = await service.on_heartbeat('entry-0', body)
     started = time.process_time()
@@ -280,7 +280,7 @@
         await service.on_heartbeat('entry-0', body)
     handled = time.process_time()
     for _ in range(HEARTBEATS):
-        await task.ask_one(control, kind)
+        await task.poll_one(control, kind)
     ended = time.process_time()
     return Beat(
         len(body),
@@ -298,15 +298,15 @@
     history = RevisionHistory()
     before = tracemalloc.get_traced_memory()[0]
     document = unpack_document(pack_document(document)).ok_value
-    for number in range(1, KEPT_DOCUMENTS + 1):
+    for number in range(1, MAX_DOCUMENTS + 1):
         later = with_vms(document_of(make_manifest(1100, number, number)), VMS)
         document = patch(document, diff(document, later)).ok_value
-        history.add(Held(number, digest_of(document), document))
-    revision = revision_of(KEPT_DOCUMENTS, document)
+        history.add(DocumentRevision(number, digest_of(document), document))
+    revision = revision_of(MAX_DOCUMENTS, document)
     later = document
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return (after - before) / revision.revision * KEPT_DOCUMENTS / 1e6
+    return (after - before) / revision.revision * MAX_DOCUMENTS / 1e6
 
 
 def totals(cost: Cost, beat: Beat) -> list[str]:
--- a/benchmarks/organisations.py
+++ b/benchmarks/organisations.py
@@ -89,7 +89,7 @@
 
 def as_vms_get_it(manifest: Manifest) -> Document:
     """Return the document of a manifest without the pipeline's own."""
-    return document_of(manifest).for_vms()
+    return document_of(manifest).without_origin()
 
 
 def measure(count: int) -> Cost:
--- a/godwitshunt/configuration/background.py
+++ b/godwitshunt/configuration/background.py
@@ -7,7 +7,7 @@
 from godwitshunt.telemetry import log_change
 
 
-class Background:
+class BackgroundTasks:
     """Tasks of one part; each piece of work runs once at a time.
 
     A notice of the timer must not wait, so the work that it asks for runs in
@@ -54,7 +54,7 @@
         running = self.tasks.get(name)
         return running is not None and not running.done()
 
-    def forget_done(self) -> None:
+    def remove_done(self) -> None:
         """Drop work that is done; for work of ever new names."""
         for name, task in tuple(self.tasks.items()):
             if task.done():
--- a/godwitshunt/configuration/delta.py
+++ b/godwitshunt/configuration/delta.py
@@ -11,8 +11,8 @@
     Document,
     DocumentMalformed,
     Section,
-    by_name,
     entry_name,
+    index_by_name,
 )
 
 
@@ -91,7 +91,7 @@
     """Return a section after its change."""
     whole = change.get('whole')
     if whole is not None:
-        return by_name(name, whole)
+        return index_by_name(name, whole)
     removed = frozenset(change['removed'])
     entries = {
         key: entry for key, entry in before.items() if key not in removed
@@ -100,7 +100,9 @@
         entries[entry_name(name, entry)] = entry
     if not change['added']:
         return entries
-    return by_name(name, insert_all(list(entries.values()), change['added']))
+    return index_by_name(
+        name, insert_all(list(entries.values()), change['added'])
+    )
 
 
 def insert_all(entries: list, added: Sequence) -> list:
--- a/godwitshunt/configuration/document.py
+++ b/godwitshunt/configuration/document.py
@@ -87,7 +87,7 @@
         """Return the document with one section replaced."""
         return replace(self, sections={**self.sections, name: entries})
 
-    def for_vms(self) -> 'Document':
+    def without_origin(self) -> 'Document':
         """Return the document as VMs need it, without the pipeline's own.
 
         That is as long as all the rest, and holds keys of callers, which
@@ -114,7 +114,7 @@
     return entry['name']
 
 
-def by_name(section: str, entries: Iterable[Entry]) -> Section:
+def index_by_name(section: str, entries: Iterable[Entry]) -> Section:
     """Return entries by their names, in order."""
     return {entry_name(section, entry): entry for entry in entries}
 
@@ -123,7 +123,8 @@
     """Return the document of a manifest, without VMs and holders."""
     fields = manifest.model_dump(mode='json')
     sections = {
-        name: by_name(name, fields.pop(name)) for name in MANIFEST_SECTIONS
+        name: index_by_name(name, fields.pop(name))
+        for name in MANIFEST_SECTIONS
     }
     return Document(fields, sections)
 
@@ -192,7 +193,7 @@
     """Read a document from plain JSON fields."""
     try:
         sections = {
-            name: by_name(name, fields['sections'].get(name, ()))
+            name: index_by_name(name, fields['sections'].get(name, ()))
             for name in SECTIONS
         }
         return Ok(Document(fields['scalars'], sections))
@@ -212,7 +213,9 @@
         revision=revision,
         digest=manifest_digest_of(document),
         manifest=Manifest.model_validate(document.manifest_fields()),
-        vms=tuple(vm_of(entry) for entry in document.section('vms').values()),
+        vms=tuple(
+            vm_from_entry(entry) for entry in document.section('vms').values()
+        ),
         holders=tuple(
             HolderSet(
                 entry['region'],
@@ -226,7 +229,7 @@
     )
 
 
-def vm_of(entry: Entry) -> VmRecord:
+def vm_from_entry(entry: Entry) -> VmRecord:
     """Return a VM's record from its entry."""
     return VmRecord(
         name=entry['name'],
@@ -239,7 +242,7 @@
     )
 
 
-def vm_entry(vm: VmRecord) -> Entry:
+def vm_to_entry(vm: VmRecord) -> Entry:
     """Return a VM's entry for the document."""
     return {
         'name': vm.name,
--- a/godwitshunt/configuration/explanation.py
+++ b/godwitshunt/configuration/explanation.py
@@ -32,7 +32,7 @@
     allowed = by_rule & by_model
     return {
         'revision': state.revision,
-        'number': state.highest,
+        'number': state.highest_number,
         'caller': caller,
         'home': declared['home'],
         'service': service,
@@ -70,7 +70,7 @@
     holder = None if organisation is None else holders[organisation]
     told = {
         'revision': state.revision,
-        'number': state.highest,
+        'number': state.highest_number,
         'organisation': organisation,
     }
     route = route_at(manifest, host, path)
--- a/godwitshunt/configuration/freshness_task.py
+++ b/godwitshunt/configuration/freshness_task.py
@@ -2,8 +2,8 @@
 
 from result import Err
 
-from godwitshunt.configuration.background import Background
-from godwitshunt.configuration.document import vm_of
+from godwitshunt.configuration.background import BackgroundTasks
+from godwitshunt.configuration.document import vm_from_entry
 from godwitshunt.configuration.freshness import Freshness
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.history import UNKNOWN_AGE_S
@@ -40,7 +40,7 @@
         self.links = links
         self.timer = timer
         self.freshness = Freshness()
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.subscription: Subscription | None = None
 
     def start(self) -> None:
@@ -94,7 +94,7 @@
         if leader is None:
             return None
         reply = await self.links.call(
-            vm_of(leader).peer,
+            vm_from_entry(leader).peer,
             MessageKind.configuration_fetch,
             b'',
             PROOF_TIMEOUT_S,
--- a/godwitshunt/configuration/history.py
+++ b/godwitshunt/configuration/history.py
@@ -11,12 +11,12 @@
 )
 from godwitshunt.configuration.gen.wire.ttypes import ConfigurationNews
 
-KEPT_DOCUMENTS = 64
+MAX_DOCUMENTS = 64
 UNKNOWN_AGE_S = -1.0
 
 
 @dataclass(frozen=True)
-class Held:
+class DocumentRevision:
     """A revision of the document with its digest."""
 
     revision: int
@@ -29,22 +29,24 @@
     """The newest document and the ones that a delta can build on.
 
     Documents share the entries that they have in common, so keeping the last
-    `KEPT_DOCUMENTS` costs little more than keeping one.
+    `MAX_DOCUMENTS` costs little more than keeping one.
     """
 
-    held: OrderedDict[int, Held] = field(default_factory=OrderedDict)
-    newest: Held | None = None
+    documents: OrderedDict[int, DocumentRevision] = field(
+        default_factory=OrderedDict
+    )
+    newest: DocumentRevision | None = None
     bodies: dict[int, bytes] = field(default_factory=dict)
 
-    def add(self, newest: Held) -> None:
+    def add(self, newest: DocumentRevision) -> None:
         """Keep a newer document."""
         self.newest = newest
         self.bodies.clear()
-        self.held[newest.revision] = newest
-        while len(self.held) > KEPT_DOCUMENTS:
-            self.held.popitem(last=False)
+        self.documents[newest.revision] = newest
+        while len(self.documents) > MAX_DOCUMENTS:
+            self.documents.popitem(last=False)
 
-    def news_for(
+    def make_update(
         self,
         revision: int,
         quorum_age_s: float,
@@ -65,7 +67,7 @@
         if self.newest.revision <= revision:
             known = self.newest.revision
             return ConfigurationNews(known, '', '', b'', age_s, False)
-        base = self.held.get(revision)
+        base = self.documents.get(revision)
         return ConfigurationNews(
             revision=self.newest.revision,
             digest=self.newest.digest,
@@ -75,7 +77,7 @@
             introduce=False,
         )
 
-    def body_for(self, base: Held | None) -> bytes:
+    def body_for(self, base: DocumentRevision | None) -> bytes:
         """Return the delta or the whole document, made once for each base."""
         key = 0 if base is None else base.revision
         if key not in self.bodies:
--- a/godwitshunt/configuration/members.py
+++ b/godwitshunt/configuration/members.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from godwitshunt.configuration.commands import Applied, ChangeVms
-from godwitshunt.configuration.document import vm_entry
+from godwitshunt.configuration.document import vm_to_entry
 from godwitshunt.configuration.state import (
     KEPT_GENERATIONS,
     ControlState,
@@ -19,7 +19,7 @@
     gone = {*command.removed, *command.absent}
     after = {name: entry for name, entry in before.items() if name not in gone}
     for vm in command.admitted:
-        after[vm.name] = vm_entry(vm)
+        after[vm.name] = vm_to_entry(vm)
     state = replace(state, absent=absent_after(state, command))
     if after != before:
         state = state.with_document(state.document.with_section('vms', after))
--- a/godwitshunt/configuration/numbers.py
+++ b/godwitshunt/configuration/numbers.py
@@ -45,7 +45,7 @@
     document = document_of(manifest)
     digest = manifest_digest_of(document)
     base = state.document
-    if not state.highest:
+    if not state.highest_number:
         body = pack_document(document)
         return AcceptManifest(manifest.number, digest, '', body)
     for section in SYSTEM_SECTIONS:
@@ -72,7 +72,7 @@
 
 def newest_digest(state: ControlState) -> str:
     """Return the digest of the newest manifest; empty before the first."""
-    newest = state.numbers.get(state.highest)
+    newest = state.numbers.get(state.highest_number)
     return '' if newest is None else newest.digest
 
 
@@ -90,11 +90,11 @@
     known = state.numbers.get(number)
     if known is not None and known.digest == digest:
         return answer_of(state, number, repeated=True)
-    if number > state.highest:
+    if number > state.highest_number:
         return None
-    if known is None and number <= state.highest - NUMBER_WINDOW:
-        return NumberTooOld(number, state.highest - NUMBER_WINDOW + 1)
-    winner_number = state.highest if known is None else number
+    if known is None and number <= state.highest_number - NUMBER_WINDOW:
+        return NumberTooOld(number, state.highest_number - NUMBER_WINDOW + 1)
+    winner_number = state.highest_number if known is None else number
     winner = state.numbers[winner_number]
     return NumberConflict(
         number,
@@ -114,7 +114,9 @@
     known = state.numbers[number]
     if known.awaited:
         return Pending(number, known.digest, known.revision, known.awaited)
-    superseded_by = state.highest if state.highest > number else None
+    superseded_by = (
+        state.highest_number if state.highest_number > number else None
+    )
     return Accepted(
         number,
         known.digest,
@@ -175,7 +177,7 @@
     }
     state = replace(
         state,
-        highest=command.number,
+        highest_number=command.number,
         numbers={**kept, command.number: record},
     )
     return state, answer_of(state, command.number, repeated=False)
@@ -206,7 +208,9 @@
     """Accept a pending manifest for good."""
     known = state.numbers.get(number)
     if known is None:
-        return state, NumberTooOld(number, state.highest - NUMBER_WINDOW + 1)
+        return state, NumberTooOld(
+            number, state.highest_number - NUMBER_WINDOW + 1
+        )
     confirmed = {**state.numbers, number: replace(known, awaited=())}
     state = replace(state, numbers=confirmed)
     return state, answer_of(state, number, repeated=False)
--- a/godwitshunt/configuration/operator_api.py
+++ b/godwitshunt/configuration/operator_api.py
@@ -245,7 +245,7 @@
         if isinstance(barrier, Err):
             return refusal(problem_of(barrier.err_value))
         state = self.service.state
-        if not state.highest:
+        if not state.highest_number:
             told = 'no manifest was accepted yet'
             return refusal(OperatorProblem('not-ready', NOT_LEADER, told))
         fields = state.document.manifest_fields()
--- a/godwitshunt/configuration/ask_order.py
+++ b/godwitshunt/configuration/poll_order.py
@@ -39,7 +39,7 @@
     return tuple(dict.fromkeys([*own_region, *last_good, *turned]))
 
 
-def known_control(
+def all_control_addresses(
     current: Revision | None,
     named: tuple[Address, ...],
 ) -> tuple[Address, ...]:
--- a/godwitshunt/configuration/replicated_log.py
+++ b/godwitshunt/configuration/replicated_log.py
@@ -51,7 +51,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.entries: list[bytes] = []
-        self.followers: list[ApplyEntry] = []
+        self.subscribers: list[ApplyEntry] = []
         self.term = 1
         self.leading = True
         self.lease_s = 1.0
@@ -65,7 +65,7 @@
             return Err(NotLeader(None))
         self.entries.append(payload)
         index = len(self.entries)
-        for apply in self.followers:
+        for apply in self.subscribers:
             apply(index, self.term, payload)
         return Ok(Committed(index))
 
@@ -88,4 +88,4 @@
         install_snapshot: InstallSnapshot | None = None,
     ) -> None:
         """Give every later entry to a state machine."""
-        self.followers.append(apply_callback)
+        self.subscribers.append(apply_callback)
--- a/godwitshunt/configuration/kept_revision.py
+++ b/godwitshunt/configuration/revision_file.py
@@ -10,7 +10,7 @@
     pack_document,
     unpack_document,
 )
-from godwitshunt.configuration.history import Held
+from godwitshunt.configuration.history import DocumentRevision
 from godwitshunt.storage import KeptFile, KeptRecord
 
 FILE_NAME = 'configuration.bin'
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class KeptRevision:
+class RevisionFile:
     """One file that always holds one whole revision."""
 
     folder: Path
@@ -28,7 +28,7 @@
         """Where the revision is kept."""
         return KeptFile(self.folder / FILE_NAME, MAGIC)
 
-    def read(self) -> Held | None:
+    def read(self) -> DocumentRevision | None:
         """Return the kept revision; None where there is none that is whole.
 
         Raises
@@ -40,10 +40,10 @@
         read = None if kept is None else unpack_document(kept.body)
         if isinstance(read, Ok):
             document = read.ok_value
-            return Held(kept.number, digest_of(document), document)
+            return DocumentRevision(kept.number, digest_of(document), document)
         return None
 
-    def write(self, held: Held) -> None:
+    def write(self, held: DocumentRevision) -> None:
         """Keep a revision; it is on the disk when this returns.
 
         Raises
--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.configuration.commands import (
     BaseChanged,
     Command,
@@ -15,14 +15,13 @@
 from godwitshunt.configuration.document import (
     digest_of,
     revision_of,
-    vm_entry,
-    vm_of,
+    vm_from_entry,
+    vm_to_entry,
 )
 from godwitshunt.configuration.freshness_task import FreshnessTask
 from godwitshunt.configuration.gen.wire import ttypes
 from godwitshunt.configuration.heard import HeardVm, HeardVms
-from godwitshunt.configuration.history import Held, RevisionHistory
-from godwitshunt.configuration.kept_revision import KeptRevision
+from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
 from godwitshunt.configuration.news_wire import (
     require_fields,
     vm_from_wire,
@@ -36,6 +35,7 @@
     VmRecord,
     VmRole,
 )
+from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.state import ControlState
 from godwitshunt.configuration.state_machine import StateMachine
 from godwitshunt.configuration.upkeep import (
@@ -74,7 +74,7 @@
         Gives the periods.
     metrics : Metrics
         Counts heartbeats, news and changes.
-    kept : KeptRevision or None
+    revision_file : RevisionFile or None
         The newest committed revision on disk; None keeps none.
     """
 
@@ -86,9 +86,9 @@
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
-        kept: KeptRevision | None = None,
+        revision_file: RevisionFile | None = None,
     ) -> None:
-        self.kept = kept
+        self.revision_file = revision_file
         self.record = record
         self.named_others = others
         self.log = log
@@ -99,7 +99,7 @@
         self.history = RevisionHistory()
         self.heard = HeardVms()
         self.pending_seen_at: dict[int, float] = {}
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.subscriptions = []
         self.push_due = False
         self.refresh_due = False
@@ -124,12 +124,12 @@
             for address in settings.control
             if address != settings.peer_reached
         )
-        kept = None
+        revision_file = None
         if settings.keeps_revision:
-            kept = KeptRevision(settings.data_folder)
-        return cls(record, others, log, links, timer, metrics, kept)
+            revision_file = RevisionFile(settings.data_folder)
+        return cls(record, others, log, links, timer, metrics, revision_file)
 
-    def follow_control(self, control: tuple[Address, ...]) -> None:
+    def set_control_addresses(self, control: tuple[Address, ...]) -> None:
         """Know other control replicas from now on, as settings name them."""
         self.named_others = control
 
@@ -159,7 +159,7 @@
         self.links.subscribe(MessageKind.configuration_applied, self.on_reports)
         self.freshness.start()
         self.subscriptions = [
-            self.timer.every(UPKEEP_PERIOD_S, self.begin_upkeep),
+            self.timer.every(UPKEEP_PERIOD_S, self.begin_maintenance),
             self.timer.every(REPORT_PERIOD_S, self.send_reports),
         ]
 
@@ -232,19 +232,19 @@
         newest = self.history.newest
         if newest is not None and newest.revision >= state.revision:
             return
-        if not state.highest:
+        if not state.highest_number:
             return
-        document = state.document.for_vms()
-        held = Held(state.revision, digest_of(document), document)
+        document = state.document.without_origin()
+        held = DocumentRevision(state.revision, digest_of(document), document)
         self.history.add(held)
         self.publish(held)
-        if self.kept is not None:
+        if self.revision_file is not None:
             self.background.run('keep', self.keep)
         self.metrics.gauge('configuration_revision', held.revision)
         log_change(
             'configuration:revision_committed',
             revision=held.revision,
-            number=state.highest,
+            number=state.highest_number,
             digest=held.digest,
         )
         if not self.push_due:
@@ -257,7 +257,7 @@
         After a restart of all replicas nothing counts as committed until one
         of them leads; what was committed before then is known to be.
         """
-        held = None if self.kept is None else self.kept.read()
+        held = None if self.revision_file is None else self.revision_file.read()
         if held is not None:
             self.history.add(held)
             log_change('configuration:kept_taken', revision=held.revision)
@@ -272,7 +272,7 @@
         while written is not self.history.newest:
             written = self.history.newest
             try:
-                await asyncio.to_thread(self.kept.write, written)
+                await asyncio.to_thread(self.revision_file.write, written)
             except StorageError as failed:
                 self.metrics.count('configuration_keep_failed_total')
                 log_change('configuration:keep_failed', reason=failed.reason)
@@ -282,7 +282,7 @@
         """Tell of each revision that this replica applies from now on."""
         self.subscribers.append(notice)
 
-    def publish(self, held: Held) -> None:
+    def publish(self, held: DocumentRevision) -> None:
         """Tell the parts of this process of a newer revision."""
         if not self.subscribers:
             return
@@ -317,7 +317,7 @@
         for one in self.heard.direct(self.timer.now()):
             if one.vm.name == self.record.name:
                 continue
-            news = self.history.news_for(one.revision, float('inf'))
+            news = self.history.make_update(one.revision, float('inf'))
             self.links.tell(
                 one.vm.peer,
                 MessageKind.configuration_news,
@@ -335,7 +335,7 @@
         self.metrics.count('configuration_heartbeats_total')
         # The proof below covers every entry that is applied; so must the news.
         self.refresh()
-        news = self.history.news_for(revision, self.freshness.quorum_age_s())
+        news = self.history.make_update(revision, self.freshness.quorum_age_s())
         news.introduce = vm is None
         return encode(news)
 
@@ -348,7 +348,7 @@
             return None
         return known.vm
 
-    def begin_upkeep(self) -> None:
+    def begin_maintenance(self) -> None:
         """Commit what is due, where this replica leads."""
         self.heard.hear(
             HeardVm(self.record, self.state.revision, self.timer.now()),
@@ -379,7 +379,7 @@
         committed = self.state.document.section('vms')
         reports = []
         for one in self.heard.direct(now):
-            is_known = committed.get(one.vm.name) == vm_entry(one.vm)
+            is_known = committed.get(one.vm.name) == vm_to_entry(one.vm)
             report = ttypes.VmReport(
                 name=one.vm.name,
                 revision=one.revision,
@@ -408,4 +408,4 @@
         if report.vm is not None:
             return vm_from_wire(report.vm)
         entry = self.state.document.section('vms').get(report.name)
-        return None if entry is None else vm_of(entry)
+        return None if entry is None else vm_from_entry(entry)
--- a/godwitshunt/configuration/state.py
+++ b/godwitshunt/configuration/state.py
@@ -40,7 +40,7 @@
         Rises by one with each change of the document.
     document : Document
         The newest manifest, the admitted VMs and the claim holders.
-    highest : int
+    highest_number : int
         The highest manifest number; 0 before the first.
     numbers : mapping
         What each number within the last `NUMBER_WINDOW` stands for.
@@ -56,7 +56,7 @@
 
     revision: int = 0
     document: Document = field(default_factory=Document)
-    highest: int = 0
+    highest_number: int = 0
     numbers: Mapping[int, NumberRecord] = field(default_factory=dict)
     absent: Mapping[str, str] = field(default_factory=dict)
     fencing: int = 0
--- a/godwitshunt/configuration/status.py
+++ b/godwitshunt/configuration/status.py
@@ -24,7 +24,7 @@
     }
     return {
         'revision': state.revision,
-        'number': state.highest,
+        'number': state.highest_number,
         'leader': leadership.name,
         'quorum_age_s': finite(leadership.quorum_age_s),
         'vms': vms,
--- a/godwitshunt/configuration/following.py
+++ b/godwitshunt/configuration/sync_state.py
@@ -18,22 +18,22 @@
     unpack_document,
 )
 from godwitshunt.configuration.gen.wire.ttypes import ConfigurationNews
-from godwitshunt.configuration.history import Held
+from godwitshunt.configuration.history import DocumentRevision
 
 NEVER = float('-inf')
 
 
 @dataclass(frozen=True)
-class Following:
+class SyncState:
     """What a VM holds.
 
     Parameters
     ----------
-    held : Held or None
+    latest : DocumentRevision or None
         The revision in force; None before the first.
     proof_at : float
         Monotonic time of the last proof of a live quorum, in seconds.
-    needs_whole : bool
+    needs_full_document : bool
         True where a delta did not fit and the whole document is wanted.
     started_at : float
         Monotonic time when the process started, in seconds.
@@ -42,25 +42,25 @@
         with one that no quorum vouches for; infinite for never.
     """
 
-    held: Held | None = None
+    latest: DocumentRevision | None = None
     proof_at: float = NEVER
-    needs_whole: bool = False
+    needs_full_document: bool = False
     started_at: float = NEVER
     unproven_after_s: float = -NEVER
 
     @property
     def base_revision(self) -> int:
         """The revision to ask a delta over; 0 asks for the whole."""
-        if self.held is None or self.needs_whole:
+        if self.latest is None or self.needs_full_document:
             return 0
-        return self.held.revision
+        return self.latest.revision
 
 
 @dataclass(frozen=True)
 class RevisionApplied:
     """A higher revision came into force."""
 
-    held: Held
+    latest: DocumentRevision
 
 
 @dataclass(frozen=True)
@@ -78,18 +78,18 @@
 NewsOutcome = RevisionApplied | NothingNewer | NewsRefused
 
 
-def take_news(
-    following: Following,
+def apply_update(
+    sync_state: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
     *,
     from_peer: bool = False,
-) -> tuple[Following, NewsOutcome]:
+) -> tuple[SyncState, NewsOutcome]:
     """Apply a reply or a push.
 
     Parameters
     ----------
-    following : Following
+    sync_state : SyncState
         What the VM holds.
     news : ConfigurationNews
         From a control replica or a peer.
@@ -106,22 +106,28 @@
     force. So a VM with a fresh proof holds every change that was committed
     before that proof, also where the proof came through a peer.
     """
-    held = following.held
-    if held is not None and news.revision <= held.revision:
-        return proven(following, news, asked_at), NothingNewer()
-    if not news.revision or not may_begin(following, news, asked_at, from_peer):
-        return following, NothingNewer()
-    match read_news(held, news):
+    latest = sync_state.latest
+    if latest is not None and news.revision <= latest.revision:
+        return proven(sync_state, news, asked_at), NothingNewer()
+    if not news.revision or not may_begin(
+        sync_state, news, asked_at, from_peer
+    ):
+        return sync_state, NothingNewer()
+    match read_news(latest, news):
         case Err(fault):
-            return replace(following, needs_whole=True), NewsRefused(fault)
+            return replace(sync_state, needs_full_document=True), NewsRefused(
+                fault
+            )
         case Ok(document):
-            newer = Held(news.revision, news.digest, document)
-            following = replace(following, held=newer, needs_whole=False)
-            return proven(following, news, asked_at), RevisionApplied(newer)
+            newer = DocumentRevision(news.revision, news.digest, document)
+            sync_state = replace(
+                sync_state, latest=newer, needs_full_document=False
+            )
+            return proven(sync_state, news, asked_at), RevisionApplied(newer)
 
 
 def may_begin(
-    following: Following,
+    sync_state: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
     from_peer: bool,
@@ -134,35 +140,35 @@
     revision must include every commit before the restart; or it must be in
     force on a VM of the region, which was waited for as much as this one.
     """
-    if following.held is not None or from_peer:
+    if sync_state.latest is not None or from_peer:
         return True
     if asked_at is None:
         return False
-    if asked_at - following.started_at >= following.unproven_after_s:
+    if asked_at - sync_state.started_at >= sync_state.unproven_after_s:
         return True
     if news.quorum_age_s < 0:
         return False
-    return asked_at - news.quorum_age_s >= following.started_at
+    return asked_at - news.quorum_age_s >= sync_state.started_at
 
 
 def proven(
-    following: Following,
+    sync_state: SyncState,
     news: ConfigurationNews,
     asked_at: float | None,
-) -> Following:
+) -> SyncState:
     """Note the proof of a quorum that came with the news."""
     if asked_at is None or news.quorum_age_s < 0:
-        return following
-    proof_at = max(following.proof_at, asked_at - news.quorum_age_s)
-    return replace(following, proof_at=proof_at)
+        return sync_state
+    proof_at = max(sync_state.proof_at, asked_at - news.quorum_age_s)
+    return replace(sync_state, proof_at=proof_at)
 
 
 def read_news(
-    held: Held | None,
+    latest: DocumentRevision | None,
     news: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
     """Return the document that the news leads to, its digest checked."""
-    read = read_body(held, news)
+    read = read_body(latest, news)
     if isinstance(read, Ok):
         found = digest_of(read.ok_value)
         if found != news.digest:
@@ -171,13 +177,15 @@
 
 
 def read_body(
-    held: Held | None,
+    latest: DocumentRevision | None,
     news: ConfigurationNews,
 ) -> Result[Document, DocumentFault]:
     """Read the whole document, or the delta over the held one."""
     if not news.base_digest:
         return unpack_document(news.body)
-    found = '' if held is None else held.digest
-    if held is None or found != news.base_digest:
+    found = '' if latest is None else latest.digest
+    if latest is None or found != news.base_digest:
         return Err(DigestMismatch(news.base_digest, found))
-    return unpack(news.body).and_then(lambda delta: patch(held.document, delta))
+    return unpack(news.body).and_then(
+        lambda delta: patch(latest.document, delta)
+    )
--- a/godwitshunt/configuration/task.py
+++ b/godwitshunt/configuration/task.py
@@ -10,33 +10,33 @@
 from pydantic import ValidationError
 from result import Err
 
-from godwitshunt.configuration.ask_order import (
-    control_order,
-    known_control,
-    peer_order,
-)
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.configuration.document import (
     DocumentMalformed,
     revision_of,
 )
 from godwitshunt.configuration.first_replies import FirstReplies, Told
-from godwitshunt.configuration.following import (
-    Following,
-    NewsOutcome,
-    NewsRefused,
-    RevisionApplied,
-    take_news,
-)
 from godwitshunt.configuration.gen.wire import ttypes
-from godwitshunt.configuration.history import Held, RevisionHistory
-from godwitshunt.configuration.kept_revision import KeptRevision
+from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
 from godwitshunt.configuration.news_wire import decode_news, vm_to_wire
+from godwitshunt.configuration.poll_order import (
+    all_control_addresses,
+    control_order,
+    peer_order,
+)
 from godwitshunt.configuration.revision import (
     Revision,
     RevisionNotice,
     VmRecord,
 )
+from godwitshunt.configuration.revision_file import RevisionFile
+from godwitshunt.configuration.sync_state import (
+    NewsOutcome,
+    NewsRefused,
+    RevisionApplied,
+    SyncState,
+    apply_update,
+)
 from godwitshunt.exceptions import FrameError, StorageError
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address, NodeSettings
@@ -90,7 +90,7 @@
         Gives the periods.
     metrics : Metrics
         Counts heartbeats and applied revisions.
-    kept : KeptRevision or None
+    revision_file : RevisionFile or None
         The newest revision on disk; None where the VM has no disk.
     unlisted : UnlistedStart or None
         How a VM starts that no acceptance ever waits for; None for one that
@@ -111,7 +111,7 @@
         links: PeerLinks,
         timer: Timer,
         metrics: Metrics,
-        kept: KeptRevision | None,
+        revision_file: RevisionFile | None,
         unlisted: UnlistedStart | None = None,
     ) -> None:
         self.unlisted = unlisted
@@ -121,18 +121,18 @@
         self.links = links
         self.timer = timer
         self.metrics = metrics
-        self.kept = kept
-        self.following = Following()
+        self.revision_file = revision_file
+        self.sync_state = SyncState()
         self.current: Revision | None = None
         self.history = RevisionHistory()
         self.subscribers: list[RevisionNotice] = []
         self.first = FirstReplies()
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.closed = False
         self.lock = asyncio.Lock()
         self.preferred: Address | None = None
         self.peer_turn = 0
-        self.introduces = True
+        self.sends_record = True
         self.asked_s = float('-inf')
         # Spreads heartbeats over time; nothing is decided by it.
         self.jitter = random.Random(record.name)
@@ -148,9 +148,9 @@
         unlisted: UnlistedStart | None = None,
     ) -> Self:
         """Make the task of a VM."""
-        kept = None
+        revision_file = None
         if settings.data_folder is not None:
-            kept = KeptRevision(Path(settings.data_folder))
+            revision_file = RevisionFile(Path(settings.data_folder))
         return cls(
             record,
             settings.control,
@@ -158,7 +158,7 @@
             links,
             timer,
             metrics,
-            kept,
+            revision_file,
             unlisted,
         )
 
@@ -170,14 +170,14 @@
         StorageError
             Where the data folder cannot be read.
         """
-        self.following = replace(self.following, started_at=self.timer.now())
+        self.sync_state = replace(self.sync_state, started_at=self.timer.now())
         if self.unlisted is not None:
-            self.following = replace(
-                self.following,
+            self.sync_state = replace(
+                self.sync_state,
                 unproven_after_s=self.unlisted.unproven_after_s,
             )
-        if self.kept is not None:
-            self.take_kept(self.kept)
+        if self.revision_file is not None:
+            self.take_kept(self.revision_file)
         self.links.subscribe(MessageKind.configuration_news, self.on_news)
         self.links.subscribe(MessageKind.configuration_fetch, self.on_fetch)
         self.begin_heartbeat()
@@ -191,7 +191,7 @@
         """Tell of each revision that comes into force from now on."""
         self.subscribers.append(notice)
 
-    def follow_control(self, control: tuple[Address, ...]) -> None:
+    def set_control_addresses(self, control: tuple[Address, ...]) -> None:
         """Ask other control replicas from now on, as settings name them."""
         self.control = control
 
@@ -200,20 +200,20 @@
 
         Infinite where there was none since the process started.
         """
-        return self.timer.now() - self.following.proof_at
+        return self.timer.now() - self.sync_state.proof_at
 
     @property
     def is_admitted(self) -> bool:
         """True where the revision in force lists this VM."""
         return self.current is not None and self.record in self.current.vms
 
-    def take_kept(self, kept: KeptRevision) -> None:
+    def take_kept(self, revision_file: RevisionFile) -> None:
         """Put the revision on disk in force, without proof of a quorum."""
-        held = kept.read()
-        if held is None:
+        latest = revision_file.read()
+        if latest is None:
             return
-        self.following = replace(self.following, held=held)
-        revision = revision_of(held.revision, held.document)
+        self.sync_state = replace(self.sync_state, latest=latest)
+        revision = revision_of(latest.revision, latest.document)
         if self.is_listed(revision):
             self.publish(revision)
 
@@ -231,7 +231,7 @@
             period_s = FIRST_PERIOD_S
         self.timer.after(period_s, self.begin_heartbeat)
 
-    async def ask_now(self) -> None:
+    async def poll_now(self) -> None:
         """Ask for newer news, and wait for it.
 
         Where that is under way already, that answer is waited for. Callers
@@ -247,10 +247,10 @@
         for address in control_order(
             self.current,
             self.record,
-            known_control(self.current, self.control),
+            all_control_addresses(self.current, self.control),
             self.preferred,
         ):
-            if await self.ask_one(address, MessageKind.vm_heartbeat):
+            if await self.poll_one(address, MessageKind.vm_heartbeat):
                 self.preferred = address
                 return
         self.preferred = None
@@ -261,7 +261,7 @@
             self.peers,
             self.peer_turn,
         ):
-            if await self.ask_one(peer, MessageKind.configuration_fetch):
+            if await self.poll_one(peer, MessageKind.configuration_fetch):
                 return
 
     def ask_all(self) -> None:
@@ -271,7 +271,7 @@
         silent at first: asked in turn, each of them costs its callers half a
         second in which nobody is served.
         """
-        for address in known_control(None, self.control):
+        for address in all_control_addresses(None, self.control):
             self.background.run(
                 f'first from {address}',
                 partial(self.ask_first, address),
@@ -283,12 +283,14 @@
         if told is None or self.current is not None:
             return
         self.first.note(address, told)
-        if self.first.has_majority(len(known_control(None, self.control))):
-            self.following = replace(self.following, unproven_after_s=0.0)
+        if self.first.has_majority(
+            len(all_control_addresses(None, self.control))
+        ):
+            self.sync_state = replace(self.sync_state, unproven_after_s=0.0)
         newest = self.first.newest()
         await self.take(newest.news, newest.asked_at)
 
-    async def ask_one(self, address: Address, kind: MessageKind) -> bool:
+    async def poll_one(self, address: Address, kind: MessageKind) -> bool:
         """Send one heartbeat; True where the reply proved a live quorum."""
         told = await self.call(address, kind)
         if told is None:
@@ -320,7 +322,7 @@
         except FrameError:
             self.metrics.count('configuration_news_malformed_total')
             return None
-        self.introduces = bool(news.introduce)
+        self.sends_record = bool(news.introduce)
         return Told(news, asked_at)
 
     def heartbeat(self) -> ttypes.VmHeartbeat:
@@ -328,8 +330,8 @@
         return ttypes.VmHeartbeat(
             name=self.record.name,
             session=self.record.session,
-            revision=self.following.base_revision,
-            vm=vm_to_wire(self.record) if self.introduces else None,
+            revision=self.sync_state.base_revision,
+            vm=vm_to_wire(self.record) if self.sends_record else None,
         )
 
     async def on_news(self, sender: str, body: bytes) -> None:
@@ -342,7 +344,7 @@
     async def on_fetch(self, sender: str, body: bytes) -> bytes:
         """Tell a peer what this VM holds, with the age of its proof."""
         heartbeat = decode(ttypes.VmHeartbeat, body)
-        news = self.history.news_for(
+        news = self.history.make_update(
             heartbeat.revision or 0,
             self.quorum_age_s(),
         )
@@ -362,36 +364,36 @@
         the older one after it had said that the newer one is in force.
         """
         async with self.lock:
-            following, outcome = take_news(
-                self.following,
+            sync_state, outcome = apply_update(
+                self.sync_state,
                 news,
                 asked_at,
                 from_peer=from_peer,
             )
             if isinstance(outcome, RevisionApplied):
-                return await self.put_in_force(following, outcome)
-            self.following = following
+                return await self.put_in_force(sync_state, outcome)
+            self.sync_state = sync_state
             if isinstance(outcome, NewsRefused):
                 self.note_refused(outcome)
             return outcome
 
     async def put_in_force(
         self,
-        following: Following,
+        sync_state: SyncState,
         outcome: RevisionApplied,
     ) -> NewsOutcome:
         """Check, keep and publish a newer revision."""
-        held = outcome.held
+        latest = outcome.latest
         try:
-            revision = revision_of(held.revision, held.document)
+            revision = revision_of(latest.revision, latest.document)
         except ValidationError as bad:
             refused = NewsRefused(DocumentMalformed(str(bad)))
-            self.following = replace(self.following, needs_whole=True)
+            self.sync_state = replace(self.sync_state, needs_full_document=True)
             self.note_refused(refused)
             return refused
-        if self.kept is not None:
-            await self.keep(self.kept, held)
-        self.following = following
+        if self.revision_file is not None:
+            await self.keep(self.revision_file, latest)
+        self.sync_state = sync_state
         if self.current is not None or self.is_listed(revision):
             self.publish(revision)
         return outcome
@@ -406,14 +408,16 @@
             return True
         return any(vm.name == self.record.name for vm in revision.vms)
 
-    async def keep(self, kept: KeptRevision, held: Held) -> None:
+    async def keep(
+        self, revision_file: RevisionFile, latest: DocumentRevision
+    ) -> None:
         """Write a revision to the disk; a failure is counted and logged.
 
         Serving by an older revision until the disk is repaired would be
         worse than losing the newer one at the next restart.
         """
         try:
-            await asyncio.to_thread(kept.write, held)
+            await asyncio.to_thread(revision_file.write, latest)
         except StorageError as failed:
             self.metrics.count('configuration_keep_failed_total')
             log_change('configuration:keep_failed', reason=failed.reason)
@@ -421,8 +425,8 @@
     def publish(self, revision: Revision) -> None:
         """Put a revision in force at once and tell the subscribers."""
         self.current = revision
-        if self.following.held is not None:
-            self.history.add(self.following.held)
+        if self.sync_state.latest is not None:
+            self.history.add(self.sync_state.latest)
         self.metrics.gauge('configuration_revision', revision.revision)
         log_change(
             'configuration:revision_in_force',
--- a/godwitshunt/configuration/tests/test_contained_faults.py
+++ b/godwitshunt/configuration/tests/test_contained_faults.py
@@ -5,7 +5,7 @@
 import pytest
 
 from godwitshunt.configuration import SingleLog
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.configuration.state_machine import StateMachine
 from godwitshunt.configuration.tests.test_state import accept
 
@@ -59,7 +59,7 @@
         calls.append(1)
         raise KeyError('a fault of ours')
 
-    background = Background()
+    background = BackgroundTasks()
     for _ in range(2):
         background.run('work', fail)
         await background.wait('work')
--- a/godwitshunt/configuration/tests/test_distribution.py
+++ b/godwitshunt/configuration/tests/test_distribution.py
@@ -8,8 +8,8 @@
     Pending,
 )
 from godwitshunt.configuration.document import digest_of, document_of
-from godwitshunt.configuration.history import Held, RevisionHistory
-from godwitshunt.configuration.kept_revision import KeptRevision
+from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
+from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.task import UnlistedStart
 from godwitshunt.configuration.tests.fakes import (
     Deployment,
@@ -77,7 +77,7 @@
     It must come back with the newest revision that was in force there, and
     must know that it is isolated.
     """
-    kept = KeptRevision(tmp_path)
+    kept = RevisionFile(tmp_path)
     record = deployment.add_vm('e4', 'split', 207, kept=kept)
     for number in (1, 2, 3):
         await deployment.accept(manifest(number))
@@ -188,17 +188,17 @@
     await deployment.accept(manifest())
     service = deployment.services['c1']
     for subscription in service.subscriptions:
-        if subscription.callback == service.begin_upkeep:
+        if subscription.callback == service.begin_maintenance:
             subscription.cancel()
-    kept = KeptRevision(tmp_path)
+    kept = RevisionFile(tmp_path)
     record = deployment.add_vm('e5', 'split', 209, kept=kept)
     await deployment.run(3)
-    assert deployment.tasks['e5'].following.held is not None
+    assert deployment.tasks['e5'].sync_state.latest is not None
     assert deployment.tasks['e5'].current is None
     await deployment.tasks['e5'].close()
     deployment.add_vm('e5', 'split', 209, kept=kept)
     assert deployment.tasks['e5'].current is None
-    service.begin_upkeep()
+    service.begin_maintenance()
     await deployment.run(3)
     assert record in deployment.tasks['e5'].current.vms
 
@@ -252,12 +252,12 @@
     history = RevisionHistory()
     for revision in range(1, held + 1):
         document = document_of(manifest(revision))
-        history.add(Held(revision, digest_of(document), document))
+        history.add(DocumentRevision(revision, digest_of(document), document))
     for port, revision in replies.items():
         news = RevisionHistory()
         if revision:
-            news.add(history.held[revision])
-        body = encode(news.news_for(0, float('inf')))
+            news.add(history.documents[revision])
+        body = encode(news.make_update(0, float('inf')))
 
         async def answer(sender, asked, body=body):
             return body
--- a/godwitshunt/configuration/tests/test_explanation.py
+++ b/godwitshunt/configuration/tests/test_explanation.py
@@ -56,7 +56,9 @@
         Organisation(name='southern', homes=('tvm',)),
     ),
 )
-STATE = ControlState(revision=3, document=document_of(MANIFEST), highest=7)
+STATE = ControlState(
+    revision=3, document=document_of(MANIFEST), highest_number=7
+)
 
 
 @pytest.mark.parametrize(
--- a/godwitshunt/configuration/tests/test_following.py
+++ b/godwitshunt/configuration/tests/test_following.py
@@ -7,13 +7,13 @@
 from godwitshunt.configuration.delta import diff, patch
 from godwitshunt.configuration.document import (
     Document,
-    by_name,
     digest_of,
+    index_by_name,
     pack,
     unpack,
 )
-from godwitshunt.configuration.following import Following, take_news
-from godwitshunt.configuration.history import Held, RevisionHistory
+from godwitshunt.configuration.history import DocumentRevision, RevisionHistory
+from godwitshunt.configuration.sync_state import SyncState, apply_update
 
 entries = st.lists(
     st.builds(
@@ -26,7 +26,10 @@
 documents = st.builds(
     lambda number, callers, vms: Document(
         {'number': number},
-        {'callers': by_name('callers', callers), 'vms': by_name('vms', vms)},
+        {
+            'callers': index_by_name('callers', callers),
+            'vms': index_by_name('vms', vms),
+        },
     ),
     st.integers(1, 9),
     entries,
@@ -54,25 +57,25 @@
     history = RevisionHistory()
     committed = {}
     sent = []
-    following = Following()
+    sync_state = SyncState()
     for revision, document in enumerate(versions, start=1):
-        held = Held(revision, digest_of(document), document)
+        held = DocumentRevision(revision, digest_of(document), document)
         committed[revision] = held.digest
-        bases = [0, *history.held]
+        bases = [0, *history.documents]
         history.add(held)
-        sent += [history.news_for(base, 0) for base in bases]
+        sent += [history.make_update(base, 0) for base in bases]
     for news in data.draw(st.lists(st.sampled_from(sent), max_size=12)):
-        before = following.held.revision if following.held else 0
-        following, _ = take_news(following, news, 0)
-        if following.held:
-            assert following.held.revision >= before
-            digest = digest_of(following.held.document)
-            assert digest == committed[following.held.revision]
+        before = sync_state.latest.revision if sync_state.latest else 0
+        sync_state, _ = apply_update(sync_state, news, 0)
+        if sync_state.latest:
+            assert sync_state.latest.revision >= before
+            digest = digest_of(sync_state.latest.document)
+            assert digest == committed[sync_state.latest.revision]
     for _ in range(2):
-        answer = history.news_for(following.base_revision, 0)
-        following, _ = take_news(following, answer, 5)
-    assert following.held.revision == len(versions)
-    assert following.proof_at == 5
+        answer = history.make_update(sync_state.base_revision, 0)
+        sync_state, _ = apply_update(sync_state, answer, 5)
+    assert sync_state.latest.revision == len(versions)
+    assert sync_state.proof_at == 5
 
 
 def test_proof_counts_only_with_its_revision():
@@ -84,12 +87,12 @@
     history = RevisionHistory()
     for number in (1, 2):
         document = Document({'number': number}, {})
-        history.add(Held(number, digest_of(document), document))
-    delta = history.news_for(next(iter(history.held)), 0)
-    following, _ = take_news(Following(), delta, 5)
-    assert following.held is None
-    assert following.proof_at < 0
-    assert following.needs_whole
+        history.add(DocumentRevision(number, digest_of(document), document))
+    delta = history.make_update(next(iter(history.documents)), 0)
+    sync_state, _ = apply_update(SyncState(), delta, 5)
+    assert sync_state.latest is None
+    assert sync_state.proof_at < 0
+    assert sync_state.needs_full_document
 
 
 @pytest.mark.parametrize(
@@ -111,12 +114,12 @@
     """
     document = Document({'number': 1}, {})
     history = RevisionHistory()
-    history.add(Held(1, digest_of(document), document))
-    news = history.news_for(0, age_s)
-    following, _ = take_news(
-        Following(started_at=10),
+    history.add(DocumentRevision(1, digest_of(document), document))
+    news = history.make_update(0, age_s)
+    sync_state, _ = apply_update(
+        SyncState(started_at=10),
         news,
         asked_at,
         from_peer=from_peer,
     )
-    assert (following.held is not None) == begins
+    assert (sync_state.latest is not None) == begins
--- a/godwitshunt/configuration/tests/test_kept_revision.py
+++ b/godwitshunt/configuration/tests/test_kept_revision.py
@@ -3,16 +3,16 @@
 import pytest
 
 from godwitshunt.configuration.document import digest_of, document_of
-from godwitshunt.configuration.history import Held
-from godwitshunt.configuration.kept_revision import FILE_NAME, KeptRevision
+from godwitshunt.configuration.history import DocumentRevision
+from godwitshunt.configuration.revision_file import FILE_NAME, RevisionFile
 from godwitshunt.configuration.tests.fakes import Deployment, manifest
 from godwitshunt.exceptions import StorageError
 
 
-def held(number: int) -> Held:
+def held(number: int) -> DocumentRevision:
     """Return a revision."""
     document = document_of(manifest(number))
-    return Held(number, digest_of(document), document)
+    return DocumentRevision(number, digest_of(document), document)
 
 
 @pytest.mark.parametrize(
@@ -31,7 +31,7 @@
 
     Half a configuration must never come into force; the VM starts without.
     """
-    kept = KeptRevision(tmp_path)
+    kept = RevisionFile(tmp_path)
     kept.write(held(1))
     path = tmp_path / FILE_NAME
     path.write_bytes(damage(path.read_bytes()))
@@ -42,7 +42,7 @@
 
 def test_crash_before_the_rename_leaves_the_older_one(tmp_path):
     """The VM crashes while it writes a newer revision beside the older."""
-    kept = KeptRevision(tmp_path)
+    kept = RevisionFile(tmp_path)
     kept.write(held(1))
     (tmp_path / FILE_NAME).with_suffix('.new').write_bytes(b'half')
     assert kept.read().digest == held(1).digest
@@ -55,14 +55,14 @@
     """
     blocked = tmp_path / 'file'
     blocked.write_bytes(b'')
-    kept = KeptRevision(blocked)
+    kept = RevisionFile(blocked)
     with pytest.raises(StorageError):
         kept.write(held(1))
     deployment = Deployment()
     deployment.add_control('c1', 'zagreb')
     deployment.add_vm('e1', 'zagreb', 201)
     task = deployment.tasks['e1']
-    task.kept = kept
+    task.revision_file = kept
     await deployment.run(2)
     await deployment.accept(manifest())
     await deployment.run(2)
--- a/godwitshunt/configuration/tests/test_schedules.py
+++ b/godwitshunt/configuration/tests/test_schedules.py
@@ -11,8 +11,8 @@
 
 from godwitshunt.configuration.commands import Accepted
 from godwitshunt.configuration.document import document_of
-from godwitshunt.configuration.kept_revision import KeptRevision
 from godwitshunt.configuration.replicated_log import SingleLog
+from godwitshunt.configuration.revision_file import RevisionFile
 from godwitshunt.configuration.tests.fakes import (
     Deployment,
     caller,
@@ -51,7 +51,7 @@
         """Apply what has come, unless this replica lags."""
         while self.late and not self.lagging:
             payload = self.late.pop(0)
-            for apply in self.followers:
+            for apply in self.subscribers:
                 apply(0, 1, payload)
 
     def leadership(self) -> Leadership:
@@ -88,7 +88,7 @@
         """Start a VM; e2 has a disk, e3 knows e2 as its peer."""
         more = {}
         if name == 'e2':
-            more['kept'] = KeptRevision(self.folder)
+            more['kept'] = RevisionFile(self.folder)
         if name == 'e3':
             more['peers'] = (self.deployment.tasks['e2'].record.peer,)
         self.deployment.add_vm(name, region, port, **more)
--- a/godwitshunt/configuration/upkeep.py
+++ b/godwitshunt/configuration/upkeep.py
@@ -9,7 +9,7 @@
     Command,
     ConfirmManifest,
 )
-from godwitshunt.configuration.document import vm_entry
+from godwitshunt.configuration.document import vm_to_entry
 from godwitshunt.configuration.heard import HeardVms
 from godwitshunt.configuration.members import is_unchanged, sessions_of
 from godwitshunt.configuration.revision import VmRole
@@ -49,7 +49,7 @@
     admitted = tuple(
         one.vm
         for one in heard.live(now)
-        if state.document.section('vms').get(one.vm.name) != vm_entry(one.vm)
+        if state.document.section('vms').get(one.vm.name) != vm_to_entry(one.vm)
     )
     absent = absent_vms(state, heard, led_since, now)
     if admitted or absent:
--- a/godwitshunt/configuration/wire.py
+++ b/godwitshunt/configuration/wire.py
@@ -126,7 +126,7 @@
     fields: dict[str, Any] = {
         'revision': state.revision,
         'document': plain(state.document),
-        'highest': state.highest,
+        'highest': state.highest_number,
         'numbers': [
             [number, known.digest, known.revision, awaited_fields(known)]
             for number, known in state.numbers.items()
@@ -170,7 +170,7 @@
         ControlState(
             revision=fields['revision'],
             document=document.ok_value,
-            highest=fields['highest'],
+            highest_number=fields['highest'],
             numbers={
                 number: NumberRecord(
                     digest,
--- a/godwitshunt/ingress/crash_detector.py
+++ b/godwitshunt/ingress/crash_detector.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.ingress.requests import RoutedRequest
 from godwitshunt.quarantine import Loss, LostRequest, Quarantine
 from godwitshunt.settings import Address
@@ -53,7 +53,7 @@
     quarantine: Quarantine
     timer: Timer
     source: str | None = None
-    background: Background = field(default_factory=Background)
+    background: BackgroundTasks = field(default_factory=BackgroundTasks)
     waiting: dict[str, list[LostRequest]] = field(default_factory=dict)
     shown: dict[str, PlaceShown] = field(default_factory=dict)
 
@@ -122,7 +122,7 @@
 
     def forget(self) -> None:
         """Drop what was found too long ago to hold."""
-        self.background.forget_done()
+        self.background.remove_done()
         now_s = self.timer.now()
         for place, known in tuple(self.shown.items()):
             if now_s - known.at_s >= SHOWN_KEPT_S:
--- a/godwitshunt/placement/task.py
+++ b/godwitshunt/placement/task.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from godwitshunt.configuration import ConfigurationService
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.configuration.commands import (
     FinishOrder,
     IssueOrder,
@@ -141,7 +141,7 @@
         self.reserved_units = 0
         self.upstreams: dict[str, KnownUpstream] = {}
         self.reported_s: dict[str, float] = {}
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.subscription: Subscription | None = None
 
     @classmethod
--- a/godwitshunt/programs/control_process.py
+++ b/godwitshunt/programs/control_process.py
@@ -109,9 +109,9 @@
             self.api.serve,
         )
 
-    def follow_control(self, control: tuple[Address, ...]) -> None:
+    def set_control_addresses(self, control: tuple[Address, ...]) -> None:
         """Know other control replicas from now on, as settings name them."""
-        self.service.follow_control(control)
+        self.service.set_control_addresses(control)
 
     def known_control(self) -> tuple[Address, ...]:
         """Return the peer addresses of control VMs that are known."""
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -8,7 +8,7 @@
     ConfigurationTask,
     VmRole,
 )
-from godwitshunt.configuration.ask_order import known_control
+from godwitshunt.configuration.poll_order import all_control_addresses
 from godwitshunt.configuration.revision import Revision
 from godwitshunt.configuration.task import UnlistedStart
 from godwitshunt.ingress import HeaderNames, IngressTask
@@ -103,7 +103,7 @@
 
         authorizer = self.ingress.context.authorizer
         authorizer.age_s = self.configuration.quorum_age_s
-        authorizer.renew = self.configuration.ask_now
+        authorizer.renew = self.configuration.poll_now
 
     def control(self) -> tuple[Address, ...]:
         """Return the peer addresses of the control VMs that are known.
@@ -115,7 +115,7 @@
         of = (configuration.current, configuration.control)
         if of != self.control_of:
             self.control_of = of
-            self.known = known_control(*of)
+            self.known = all_control_addresses(*of)
         return self.known
 
     def accepting(self) -> tuple[EntryRecord, ...]:
--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -10,7 +10,7 @@
 
 from result import Err
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.quarantine import Quarantine
 from godwitshunt.registry.contacts import ControlContact
@@ -86,7 +86,7 @@
         self.contacts: dict[str, ControlContact] = {}
         self.summed: Mapping[str, Load] = {}
         self.summed_of: tuple[tuple[str, float], ...] = ()
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.subscription: Subscription | None = None
 
     def start(self) -> None:
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Self
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.quarantine import (
     QUARANTINE_S,
@@ -86,7 +86,7 @@
     ) -> None:
         self.location = location
         self.shown = (-1, -1)
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.links = links
         self.timer = timer
         self.metrics = metrics
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from godwitshunt.configuration.background import Background
+from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.quarantine import QUARANTINE_S, Quarantine
 from godwitshunt.registry.asking import (
@@ -136,7 +136,7 @@
         self.quarantine = Quarantine(QUARANTINE_S, timer.now, metrics)
         self.loads: Mapping[str, Load] = {}
         self.loads_asof_s = float('-inf')
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.subscription: Subscription | None = None
         self.started_s = float('-inf')
         self.cached = RegistryView()
