--- a/godwitshunt/claims/claim_driver.py
+++ b/godwitshunt/claims/claim_driver.py
@@ -43,7 +43,7 @@
 )
 from godwitshunt.claims.wire import holder_answer_from_wire, request_to_wire
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics
@@ -87,7 +87,7 @@
     addresses: dict[str, Address] = field(default_factory=dict)
     epochs: dict[tuple[str, int], int] = field(default_factory=dict)
     majority_seen_s: dict[tuple[str, int], float] = field(default_factory=dict)
-    jobs: Jobs = field(default_factory=Jobs)
+    background_tasks: BackgroundTasks = field(default_factory=BackgroundTasks)
     draw_number: Callable[[], int] = draw_attempt_number
 
     def record_epoch(self, generation: tuple[str, int], epoch: int) -> None:
@@ -322,7 +322,7 @@
         Returns the next step as soon as the answers decide it.
         """
         pending_requests = {
-            self.client.jobs.run(
+            self.client.background_tasks.run(
                 self.client.send_request(
                     holder, request, self.holder_timeout_s()
                 ),
--- a/godwitshunt/claims/holder_peers.py
+++ b/godwitshunt/claims/holder_peers.py
@@ -18,7 +18,7 @@
 from godwitshunt.claims.wire import status_from_wire, status_to_wire
 from godwitshunt.configuration.revision import HolderSet
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics, log_change
@@ -54,7 +54,7 @@
         self.timer = timer
         self.metrics = metrics
         self.addresses: dict[str, Address] = {}
-        self.jobs = Jobs()
+        self.background_tasks = BackgroundTasks()
         self.active_recoveries: set[GenerationId] = set()
 
     def start(self) -> None:
@@ -64,7 +64,7 @@
 
     async def close(self) -> None:
         """Cancel pending queries and recoveries."""
-        await self.jobs.close()
+        await self.background_tasks.close()
 
     async def handle_call(self, sender: str, body: bytes) -> bytes | None:
         """Answer a VM that queries the epoch, or a holder that recovers."""
@@ -94,7 +94,9 @@
             for peer in self.reachable_peers(
                 self.table.holder_sets[generation]
             ):
-                self.jobs.run(self.exchange_epoch(generation, holder, peer))
+                self.background_tasks.run(
+                    self.exchange_epoch(generation, holder, peer)
+                )
 
     async def exchange_epoch(
         self,
@@ -128,7 +130,7 @@
         for generation in recovering:
             if generation not in self.active_recoveries:
                 self.active_recoveries.add(generation)
-                self.jobs.run(self.recover(generation))
+                self.background_tasks.run(self.recover(generation))
 
     async def recover(self, generation: GenerationId) -> None:
         """Try once to recover a generation; the next tick retries."""
--- a/godwitshunt/claims/stamps.py
+++ b/godwitshunt/claims/stamps.py
@@ -13,7 +13,7 @@
 from godwitshunt.claims.wire import status_from_wire
 from godwitshunt.configuration.revision import HolderSet
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, decode
 from godwitshunt.settings import NodeSettings
 from godwitshunt.timer import Subscription
@@ -43,7 +43,7 @@
         self.settings = settings
         self.client = client
         self.holder_sets: tuple[HolderSet, ...] = ()
-        self.jobs = Jobs()
+        self.background_tasks = BackgroundTasks()
         self.subscriptions: list[Subscription] = []
 
     def start(self) -> None:
@@ -57,7 +57,7 @@
         """Stop polling."""
         for subscription in self.subscriptions:
             subscription.cancel()
-        await self.jobs.close()
+        await self.background_tasks.close()
 
     def apply_holder_sets(self, holder_sets: Iterable[HolderSet]) -> None:
         """Apply the committed holder sets."""
@@ -104,7 +104,7 @@
             generation = (holder_set.region, holder_set.generation)
             if self.epoch_age_s(generation) < EPOCH_POLL_INTERVAL_S:
                 return
-            self.jobs.run(self.query_epoch(holder_set))
+            self.background_tasks.run(self.query_epoch(holder_set))
 
     async def query_epoch(self, holder_set: HolderSet) -> None:
         """Query every holder of a set for its epoch.
--- a/godwitshunt/claims/task.py
+++ b/godwitshunt/claims/task.py
@@ -23,7 +23,7 @@
 from godwitshunt.claims.verdicts import Attempt, Finish, Release, Verdict
 from godwitshunt.configuration.revision import HolderSet, Revision
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import NodeSettings
 from godwitshunt.telemetry import Metrics
@@ -73,7 +73,7 @@
         self.active_drivers: list[ClaimDriver] = []
         # Keys whose run result or release is being sent to the holders.
         self.settling_keys: set[str] = set()
-        self.jobs = Jobs()
+        self.background_tasks = BackgroundTasks()
 
     @classmethod
     def from_config(
@@ -98,8 +98,8 @@
     async def close(self) -> None:
         """Stop voting; callers withdraw their own claims in progress."""
         await self.stamp_source.close()
-        await self.jobs.close()
-        await self.holder_client.jobs.close()
+        await self.background_tasks.close()
+        await self.holder_client.background_tasks.close()
         await self.holder.close()
 
     def apply_revision(self, revision: Revision) -> None:
@@ -254,7 +254,7 @@
 
     def withdraw(self, attempt: Attempt) -> None:
         """Release an attempt that will not run, in the background."""
-        self.jobs.run(self.notify_holders(Release(attempt)))
+        self.background_tasks.run(self.notify_holders(Release(attempt)))
 
     async def notify_holders(self, request: Finish | Release) -> None:
         """Send to every holder; return once a majority of sends is complete.
@@ -269,7 +269,9 @@
         completed = asyncio.Semaphore(0)
         names = holder_set.names
         for holder in names:
-            self.jobs.run(self.notify_holder(holder, request, completed))
+            self.background_tasks.run(
+                self.notify_holder(holder, request, completed)
+            )
         for _ in range(majority(len(names))):
             await completed.acquire()
 
--- a/godwitshunt/membership/table.py
+++ b/godwitshunt/membership/table.py
@@ -224,7 +224,7 @@
         if isinstance(event, Sent):
             record.record_sent(event.tokens, now_s)
         else:
-            record.note_finished(event.tokens, now_s)
+            record.record_finished(event.tokens, now_s)
         self.changed.add(event.name)
 
     def views(self, now_s: float) -> tuple[UpstreamView, ...]:
