--- a/godwitshunt/membership/task.py
+++ b/godwitshunt/membership/task.py
@@ -15,13 +15,13 @@
 from godwitshunt.membership.events import (
     Announced,
     DetailsMissing,
-    Finished,
     Full,
     Joined,
     Lapsed,
     Late,
     Left,
-    Sent,
+    RequestFinished,
+    RequestSent,
     Stale,
     UpstreamChange,
     UpstreamEvent,
@@ -202,11 +202,11 @@
 
     def record_sent(self, upstream: str, tokens: int) -> None:
         """Count a request sent to an upstream of this region."""
-        self.table.apply(Sent(upstream, tokens), self.timer.now())
+        self.table.apply(RequestSent(upstream, tokens), self.timer.now())
 
     def record_finished(self, upstream: str, tokens: int) -> None:
         """Stop counting a request that is over."""
-        self.table.apply(Finished(upstream, tokens), self.timer.now())
+        self.table.apply(RequestFinished(upstream, tokens), self.timer.now())
 
     def announce_draining(self) -> None:
         """Tell the region that this VM takes no new requests."""
