--- a/godwitshunt/membership/__init__.py
+++ b/godwitshunt/membership/__init__.py
@@ -1,8 +1,9 @@
-"""Who is there: entry VMs, upstreams with leases, other regions in sum."""
+"""Membership: leased upstreams, entry VMs and summaries of other regions."""
 
 import lazy_loader
 
-# Loaded when first used: a program starts without the parts that it lacks.
+# Submodules are imported on first use, so that a program only imports those
+# that it needs.
 __getattr__, __dir__, __all__ = lazy_loader.attach(
     __name__,
     submod_attrs={
--- a/godwitshunt/membership/announcements.py
+++ b/godwitshunt/membership/announcements.py
@@ -1,4 +1,4 @@
-"""What an upstream announces of itself over HTTP, validated."""
+"""Validated HTTP announcements of upstreams."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -9,54 +9,56 @@
 from godwitshunt.membership.views import UpstreamRole
 from godwitshunt.settings import Address
 
-COUNT_LIMIT = 2**31 - 1
-NUMBER_LIMIT = 2**63 - 1
+MAX_INT32 = 2**31 - 1
+MAX_INT64 = 2**63 - 1
 MAX_NAMES = 64
 MAX_PREFIXES = 1024
 MAX_MEASURED_AGE_MS = 600_000
 
-Count = Annotated[int, Field(ge=0, le=COUNT_LIMIT)]
-Number = Annotated[int, Field(ge=0, le=NUMBER_LIMIT)]
+Count = Annotated[int, Field(ge=0, le=MAX_INT32)]
+Number = Annotated[int, Field(ge=0, le=MAX_INT64)]
 Names = Annotated[tuple[Name, ...], Field(max_length=MAX_NAMES)]
 Prefixes = Annotated[tuple[Number, ...], Field(max_length=MAX_PREFIXES)]
-Speed = Annotated[float, Field(gt=0, le=COUNT_LIMIT)]
+Speed = Annotated[float, Field(gt=0, le=MAX_INT32)]
 
 
 class UpstreamAnnouncement(StrictModel):
-    """One announcement, sent about once a second.
+    """One announcement of an upstream, sent about once a second.
 
     Parameters
     ----------
     incarnation : int
-        Higher after each restart of the upstream, such as its start time.
+        Increases with each restart of the upstream, such as its start time.
     sequence : int
-        Higher with each announcement of one incarnation.
+        Increases with each announcement of one incarnation.
     service : str
-        The manifest's service that it serves.
+        The service in the manifest that it serves.
     address : Address
-        Where it takes requests.
+        Address at which it accepts requests.
     models, adapters : tuple of str
-        What is loaded; empty for plain services.
+        Loaded models and adapters; empty for plain services.
     role : UpstreamRole
-        Which part of the work it does.
+        Phases of inference that it runs.
     slots : int
-        Requests that it runs at once.
+        Maximum number of concurrent requests.
     running, queued, queued_tokens : int
-        Its load: requests running and waiting, and uncached prompt tokens
-        that wait for prefill.
+        Its load: requests that run and that are queued, and uncached prompt
+        tokens that are queued for prefill.
     prefill_tokens_per_s, decode_tokens_per_s : float
-        Its speeds; decode is per stream.
+        Its throughput; decode is per stream.
     price : float
         Cost of 1,000 generated tokens.
     cached_added, cached_dropped : tuple of int
         Hashes of prompt blocks that entered and left its cache since the
-        announcement before; a gap only costs precision.
+        previous announcement. A missed announcement only makes the prefix
+        index less accurate.
     honours_resume, honours_priority, honours_fencing : bool
-        What the engine can do.
+        Whether the engine supports resumption, priorities and fencing.
     measured_age_ms : int
-        Milliseconds between the measurement of the load and this sending.
+        Milliseconds from the measurement of the load to the sending of the
+        announcement.
     leaving : bool
-        True where it takes no new work from now on.
+        True if it accepts no new requests from now on.
     """
 
     incarnation: Number
@@ -66,7 +68,7 @@
     models: Names = ()
     adapters: Names = ()
     role: UpstreamRole = UpstreamRole.mixed
-    slots: int = Field(default=1, ge=1, le=COUNT_LIMIT)
+    slots: int = Field(default=1, ge=1, le=MAX_INT32)
     running: Count = 0
     queued: Count = 0
     queued_tokens: Count = 0
@@ -84,13 +86,13 @@
 
 @dataclass(frozen=True)
 class AnnounceAccepted:
-    """The announcement counts.
+    """The announcement was accepted.
 
     Parameters
     ----------
     lease_s : float
-        Seconds from now until the upstream gets no more work unless it
-        announces again.
+        Seconds from now until the upstream gets no new requests unless it
+        announces itself again.
     """
 
     lease_s: float
@@ -98,12 +100,12 @@
 
 @dataclass(frozen=True)
 class StaleAnnouncement:
-    """A newer announcement, or the upstream's departure, is known.
+    """The announcement is no newer than a known one or a departure.
 
     Parameters
     ----------
     incarnation, sequence : int
-        The newest that are known; only a higher pair counts.
+        The newest known pair; only a higher one is accepted.
     """
 
     incarnation: int
@@ -112,12 +114,12 @@
 
 @dataclass(frozen=True)
 class TableFull:
-    """The region has as many upstreams as a VM will hold.
+    """The VM already tracks the maximum number of upstreams.
 
     Parameters
     ----------
     limit : int
-        Names that are held at most.
+        Maximum number of upstream names.
     """
 
     limit: int
--- a/godwitshunt/membership/background_tasks.py
+++ b/godwitshunt/membership/background_tasks.py
@@ -1,4 +1,4 @@
-"""Coroutines that run beside a task until it closes."""
+"""Background tasks that are cancelled when their owner closes."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -7,20 +7,20 @@
 
 @dataclass
 class BackgroundTasks:
-    """Keeps running coroutines, so that closing ends them."""
+    """Holds running tasks, so that `close` can cancel them."""
 
     running: set[asyncio.Task[None]] = field(default_factory=set)
 
-    def run(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        """Run a coroutine until it ends or `close`."""
-        job = asyncio.get_running_loop().create_task(work)
-        self.running.add(job)
-        job.add_done_callback(self.running.discard)
-        return job
+    def run(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        """Run a coroutine until it finishes or `close` is called."""
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self.running.add(task)
+        task.add_done_callback(self.running.discard)
+        return task
 
     async def close(self) -> None:
-        """Cancel what runs and wait for its end."""
-        jobs = tuple(self.running)
-        for job in jobs:
-            job.cancel()
-        await asyncio.gather(*jobs, return_exceptions=True)
+        """Cancel all running tasks and wait for them to finish."""
+        tasks = tuple(self.running)
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
--- a/godwitshunt/membership/events.py
+++ b/godwitshunt/membership/events.py
@@ -1,4 +1,4 @@
-"""Events that the upstream table takes, and the changes that they make."""
+"""Events that the upstream table applies, and the resulting changes."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class UpstreamDetails:
-    """What an upstream is, apart from its load."""
+    """Properties of an upstream other than its load."""
 
     service: str
     address: Address
@@ -29,7 +29,7 @@
 
     @classmethod
     def from_announcement(cls, announcement: UpstreamAnnouncement) -> Self:
-        """Take the details out of a validated announcement."""
+        """Return the details in a validated announcement."""
         return cls(
             service=announcement.service,
             address=announcement.address,
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class UpstreamLoad:
-    """Requests running and waiting, and prompt tokens that wait."""
+    """Running and queued requests, and queued uncached prompt tokens."""
 
     running: int = 0
     queued: int = 0
@@ -65,15 +65,15 @@
 
 @dataclass(frozen=True)
 class Gossiped:
-    """A peer passed on an announcement.
+    """A peer relayed an announcement.
 
     Parameters
     ----------
     details : UpstreamDetails or None
-        None where the peer sent the load only.
+        None if the peer sent only the load.
     age_s : float
-        Upper bound of the seconds since the upstream announced, transit
-        included.
+        Upper bound of the seconds since the announcement, including the
+        transit time of the gossip.
     measured_age_s : float
         Upper bound of the seconds since the load was measured.
     """
@@ -89,13 +89,14 @@
 
 @dataclass(frozen=True)
 class Withdrawn:
-    """An upstream left: no new work for this incarnation, ever.
+    """An upstream withdrew and gets no new requests.
 
     Parameters
     ----------
     sequence : int or None
-        The announcement that said so: a later one of the same incarnation
-        returns. None where the incarnation is over.
+        Sequence of the announcement that withdrew it; a later announcement
+        of the same incarnation adds it again. None if the incarnation has
+        ended for good.
     """
 
     name: str
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True)
 class PrefixesChanged:
-    """An upstream's prefix cache changed, as a peer passed on."""
+    """A peer relayed changes of an upstream's prefix cache."""
 
     name: str
     incarnation: int
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True)
 class RequestSent:
-    """A request went to an upstream, with so many uncached prompt tokens."""
+    """A request with so many uncached prompt tokens was sent."""
 
     name: str
     tokens: int
@@ -124,7 +125,7 @@
 
 @dataclass(frozen=True)
 class RequestFinished:
-    """A request that this VM sent is over."""
+    """A request that this VM sent to an upstream has ended."""
 
     name: str
     tokens: int
@@ -132,7 +133,7 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """Time has passed."""
+    """Periodic check for expired leases."""
 
 
 UpstreamEvent = (
@@ -148,19 +149,19 @@
 
 @dataclass(frozen=True)
 class Joined:
-    """An upstream is new, or back under a higher incarnation."""
+    """An upstream was added, or returned with a higher incarnation."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class Refreshed:
-    """A live upstream's lease began anew.
+    """The lease of a known upstream was renewed.
 
     Parameters
     ----------
     details_changed : bool
-        True where more than the load differs.
+        True if more than the load has changed.
     """
 
     name: str
@@ -169,7 +170,7 @@
 
 @dataclass(frozen=True)
 class Left:
-    """An upstream takes no new work."""
+    """An upstream departed and gets no new requests."""
 
     name: str
     incarnation: int
@@ -178,14 +179,14 @@
 
 @dataclass(frozen=True)
 class Lapsed:
-    """An upstream's lease ran out without a word from it."""
+    """An upstream's lease expired without a new announcement."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class Stale:
-    """Dropped: this or a newer announcement is known."""
+    """Dropped: this announcement or a newer one is already known."""
 
     name: str
     incarnation: int
@@ -194,21 +195,21 @@
 
 @dataclass(frozen=True)
 class Late:
-    """Dropped: the lease that it would begin is already over."""
+    """Dropped: the lease of the announcement has already expired."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class DetailsMissing:
-    """Dropped: a load came for an upstream that is not known here."""
+    """Dropped: a load without details for an unknown upstream."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class Full:
-    """Dropped: no more names are held."""
+    """Dropped: the table is full."""
 
     name: str
 
--- a/godwitshunt/membership/isolation.py
+++ b/godwitshunt/membership/isolation.py
@@ -1,17 +1,18 @@
-"""When a VM holds itself isolated, and whom it serves then.
+"""When a VM treats itself as isolated, and which callers it then serves.
 
-While regions are cut from each other, control may accept a manifest that this
-VM cannot see. What it may still do must be right under both: it serves only
-inside its own region, and there only callers whose requests may be in this
-region under any manifest that control accepts without asking it.
+During a network partition between regions, control may accept a manifest that
+this VM does not receive. What the VM does must be allowed by both manifests:
+it routes only within its own region, and serves only callers whose requests
+may be processed there under any manifest that control accepts without this
+VM's confirmation.
 """
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
-class Connection(StrEnum):
-    """What a VM hears from outside its region."""
+class ConnectionState(StrEnum):
+    """What a VM can reach outside its region."""
 
     connected = 'connected'
     control_lost = 'control-lost'
@@ -19,50 +20,52 @@
 
 
 @dataclass(frozen=True)
-class News:
-    """Ages in seconds of the last proofs of the outside world.
+class ContactAges:
+    """Seconds since the last contacts outside the region.
 
     Parameters
     ----------
     quorum_age_s : float
-        Since a control quorum was known to be alive.
+        Seconds since a control quorum was known to be alive.
     regions_age_s : float
-        Since another region answered; infinite where none ever did.
+        Seconds since another region replied; infinite if none has yet.
     """
 
     quorum_age_s: float
     regions_age_s: float
 
 
-def connection(news: News, lease_s: float) -> Connection:
-    """Return what the VM is cut off from.
+def connection_state(ages: ContactAges, lease_s: float) -> ConnectionState:
+    """Return the connection state that contact ages imply.
 
     Examples
     --------
-    >>> connection(News(quorum_age_s=9.0, regions_age_s=0.5), lease_s=3.0)
-    <Connection.control_lost: 'control-lost'>
+    >>> connection_state(
+    ...     ContactAges(quorum_age_s=9.0, regions_age_s=0.5), lease_s=3.0
+    ... )
+    <ConnectionState.control_lost: 'control-lost'>
     """
-    if news.quorum_age_s < lease_s:
-        return Connection.connected
-    if news.regions_age_s < lease_s:
-        return Connection.control_lost
-    return Connection.isolated
+    if ages.quorum_age_s < lease_s:
+        return ConnectionState.connected
+    if ages.regions_age_s < lease_s:
+        return ConnectionState.control_lost
+    return ConnectionState.isolated
 
 
-def holds_itself_isolated(state: Connection) -> bool:
-    """Return whether the VM keeps to its own region.
+def requires_isolation(state: ConnectionState) -> bool:
+    """Return whether the VM must route within its own region only.
 
-    Other regions alone are no proof that a configuration is current: both
-    sides may be cut from the quorum together, while it takes a region away
-    from a home. One would notice it by an answer from a region that the
-    manifest in force no longer allows.
+    Replies from other regions do not prove that the configuration is current:
+    both sides may be partitioned from the quorum together, while a new
+    manifest removes a region from those that a home allows. Requests would
+    then be served in a region that the active manifest forbids.
     """
-    return state is not Connection.connected
+    return state is not ConnectionState.connected
 
 
 def may_serve_isolated(
     allowed: frozenset[str],
-    every_region: frozenset[str],
+    all_regions: frozenset[str],
     home: str,
     region: str,
 ) -> bool:
@@ -71,11 +74,12 @@
     Parameters
     ----------
     allowed : frozenset of str
-        Regions that residency allows under the newest known manifest.
-    every_region : frozenset of str
+        Regions that the residency rule allows under the newest known
+        manifest.
+    all_regions : frozenset of str
         All regions of that manifest.
     home, region : str
-        The caller's home and the VM's region.
+        The caller's home region and the VM's region.
 
     Examples
     --------
@@ -87,4 +91,4 @@
     """
     if region not in allowed:
         return False
-    return allowed == every_region or home == region
+    return allowed == all_regions or home == region
--- a/godwitshunt/membership/membership.thrift
+++ b/godwitshunt/membership/membership.thrift
@@ -1,9 +1,9 @@
 /** Membership: upstream leases within a region, summaries between regions. */
 namespace py wire
 
-/** What an upstream is; sent when new or changed, and on a fetch. */
+/** Properties of an upstream; sent when new or changed, and on a fetch. */
 struct Details {
-  /** The sender's short number for (name, incarnation, these details). */
+  /** Assigned by the sender to (name, incarnation, these details). */
   1: i32 number
   2: string name
   3: i64 incarnation
@@ -21,7 +21,7 @@
   14: i32 honours
 }
 
-/** An upstream that takes no new work; ages in milliseconds. */
+/** A departed upstream; the age is in milliseconds. */
 struct Departure {
   1: string name
   2: i64 incarnation
@@ -46,20 +46,20 @@
   6: double price
 }
 
-/** A region in sum. */
+/** Summary of a region. */
 struct Summary {
   1: string region
   2: i64 age_ms
   3: i32 round_trip_ms
   4: list<Capacity> capacities
-  /** Names of the region's VMs that take no requests now. */
+  /** Names of the region's VMs that accept no requests now. */
   5: list<string> absent
 }
 
 struct Batch {
   1: optional list<Details> details
   /**
-   * Seven integers an upstream: number, sequence, age of the announcement in
+   * Seven integers per upstream: number, sequence, age of the announcement in
    * ms, age of the measurement in ms, running, queued, queued tokens.
    */
   2: optional list<i64> loads
@@ -68,24 +68,24 @@
   5: optional list<Summary> summaries
 }
 
-/** Asks a peer of the region for what it knows. */
+/** Requests the upstream table of a peer in the region. */
 struct Fetch {
-  /** True: only upstreams that announce to the peer itself. */
+  /** True: only upstreams that announce themselves to the peer. */
   1: bool own_only
 }
 
 /** One message to one peer of the region. */
 struct Gossip {
-  /** Drawn at the process's start. */
+  /** Random, drawn at the start of the process. */
   1: i32 session
-  /** The sender's own clock, in ms since its start; never compared. */
+  /** The sender's monotonic clock in ms; never compared with other clocks. */
   2: i64 clock_ms
-  /** Last clock reading heard from the receiver, and for how long held. */
+  /** Last clock reading received from the receiver, and ms since then. */
   3: optional i32 echo_session
   4: optional i64 echo_ms
   5: optional i64 held_ms
   6: optional i64 digest
   7: optional bool draining
-  /** An encoded Batch, the same for every receiver. */
+  /** An encoded Batch, identical for every receiver. */
   8: optional binary batch
 }
--- a/godwitshunt/membership/records.py
+++ b/godwitshunt/membership/records.py
@@ -1,4 +1,4 @@
-"""What a VM keeps of one upstream."""
+"""State that a VM holds for each upstream."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -12,39 +12,41 @@
 )
 from godwitshunt.membership.views import UpstreamView
 
-# Hashes of cached prompt blocks that are kept of one upstream; the oldest go
-# first. A lost hash costs a prefill, never a wrong answer.
+# Hashes of cached prompt blocks per upstream; the oldest are dropped first. A
+# dropped hash costs at most a prefill, never a wrong answer.
 MAX_CACHED_PREFIXES = 1024
-MAX_SENDS = 4096
-MAX_ENDS = 64
+MAX_IN_FLIGHT = 4096
+MAX_RECENTLY_FINISHED = 64
 
 
 @dataclass(frozen=True)
 class Tombstone:
-    """What is remembered of an upstream that left or lapsed."""
+    """Newest version of an upstream that departed or whose lease expired."""
 
     incarnation: int
     sequence: int
-    made_s: float
+    created_s: float
 
 
 @dataclass
 class UpstreamRecord:
-    """One live upstream; times are this VM's monotonic seconds.
+    """One live upstream; times are in seconds of this VM's monotonic clock.
 
     Parameters
     ----------
-    sends : deque of (float, int)
-        Time and uncached prompt tokens of each request that this VM sent and
-        that has not ended.
+    announced_s : float
+        When the upstream sent its newest announcement, at the earliest.
+    measured_s : float
+        When the upstream measured its load, at the earliest.
     prefixes : dict
-        Reported hashes as keys, in the order of their arrival; `prefix_set`
-        holds the same for views, built once a change.
-    sends : deque of (float, int)
-        When requests of this VM went there that have not ended, and their
-        uncached prompt tokens.
-    ends : deque of (float, float)
-        When requests of this VM went there and ended, of late.
+        Reported hashes as keys, in the order of arrival.
+    prefix_set : frozenset of int
+        The same hashes for views, rebuilt only when they change.
+    recently_finished : deque of (float, float)
+        Start and end times of recently finished requests of this VM.
+    in_flight : deque of (float, int)
+        Start time and uncached prompt tokens of each unfinished request of
+        this VM.
     """
 
     incarnation: int
@@ -55,16 +57,16 @@
     measured_s: float
     prefixes: dict[int, None] = field(default_factory=dict)
     prefix_set: frozenset[int] = frozenset()
-    ends: deque[tuple[float, float]] = field(
-        default_factory=lambda: deque(maxlen=MAX_ENDS),
+    recently_finished: deque[tuple[float, float]] = field(
+        default_factory=lambda: deque(maxlen=MAX_RECENTLY_FINISHED),
     )
-    sends: deque[tuple[float, int]] = field(
-        default_factory=lambda: deque(maxlen=MAX_SENDS),
+    in_flight: deque[tuple[float, int]] = field(
+        default_factory=lambda: deque(maxlen=MAX_IN_FLIGHT),
     )
 
     @classmethod
     def from_event(cls, event: Gossiped, now_s: float) -> Self:
-        """Begin a record with its first announcement."""
+        """Create a record from the first announcement."""
         return cls(
             incarnation=event.incarnation,
             sequence=event.sequence,
@@ -75,7 +77,7 @@
         )
 
     def update(self, event: Gossiped, now_s: float) -> bool:
-        """Take a newer announcement; return whether details changed."""
+        """Apply a newer announcement; return whether details changed."""
         self.sequence = event.sequence
         self.load = event.load
         self.announced_s = now_s - event.age_s
@@ -85,45 +87,51 @@
         self.details = event.details
         return True
 
-    def change_prefixes(
+    def update_prefixes(
         self,
         added: Sequence[int],
         dropped: Sequence[int],
     ) -> None:
-        """Follow the reported prefix cache."""
-        for gone in dropped:
-            self.prefixes.pop(gone, None)
-        for new in added:
-            self.prefixes.pop(new, None)
-            self.prefixes[new] = None
+        """Apply changes of the reported prefix cache."""
+        for dropped_hash in dropped:
+            self.prefixes.pop(dropped_hash, None)
+        for added_hash in added:
+            self.prefixes.pop(added_hash, None)
+            self.prefixes[added_hash] = None
         while len(self.prefixes) > MAX_CACHED_PREFIXES:
             self.prefixes.pop(next(iter(self.prefixes)))
         if added or dropped:
             self.prefix_set = frozenset(self.prefixes)
 
     def record_sent(self, tokens: int, now_s: float) -> None:
-        """Count a request that this VM sent."""
-        self.sends.append((now_s, tokens))
+        """Record a request that this VM sent."""
+        self.in_flight.append((now_s, tokens))
 
     def record_finished(self, tokens: int, now_s: float) -> None:
-        """Stop counting the oldest request of this length."""
-        oldest = next((sent for sent in self.sends if sent[1] == tokens), None)
+        """Record the end of the oldest request with this token count."""
+        oldest = next(
+            (sent for sent in self.in_flight if sent[1] == tokens), None
+        )
         if oldest is None:
             return
-        self.sends.remove(oldest)
-        self.ends.append((oldest[0], now_s))
+        self.in_flight.remove(oldest)
+        self.recently_finished.append((oldest[0], now_s))
 
     def view(self, name: str, region: str, now_s: float) -> UpstreamView:
-        """Return what routing sees of the upstream."""
+        """Return the view of the upstream for routing."""
         details = self.details
-        # What was sent before the measurement is in the reported load.
+        # The reported load includes requests sent before the measurement.
         unreported = [
-            tokens for sent_s, tokens in self.sends if sent_s >= self.measured_s
+            tokens
+            for sent_s, tokens in self.in_flight
+            if sent_s >= self.measured_s
         ]
-        # What is in the reported load and has ended since holds no slot any
-        # more; a late report would keep a free upstream looking full.
-        ended = sum(
-            sent_s < self.measured_s <= ended_s for sent_s, ended_s in self.ends
+        # Requests that are in the reported load but have ended since occupy no
+        # slot. Without this correction, a delayed report would make a free
+        # upstream appear full.
+        finished = sum(
+            sent_s < self.measured_s <= ended_s
+            for sent_s, ended_s in self.recently_finished
         )
         return UpstreamView(
             name=name,
@@ -148,5 +156,5 @@
             honours_resume=details.honours_resume,
             honours_priority=details.honours_priority,
             honours_fencing=details.honours_fencing,
-            finished_since=ended,
+            finished_since=finished,
         )
--- a/godwitshunt/membership/summaries.py
+++ b/godwitshunt/membership/summaries.py
@@ -1,10 +1,11 @@
-"""What a region tells others of itself, and who asks whom for it.
-
-A VM asks another region only when what it knows has grown old. VMs of a
-region wait the longer the lower they rank for that region, and pass on what
-they learn, so that in calm one VM a region asks, and another takes over by
-itself when that one is gone. Messages grow with the square of the regions
-over the VMs of one, never with the square of all VMs.
+"""Summaries of regions, and the schedule of requests for them.
+
+A VM requests another region's summary only when its report of that region is
+old. The VMs of a region are ranked for each other region; lower ranked VMs
+wait longer, and each VM gossips the reports that it receives. Without
+failures, one VM per region therefore polls a given region, and the next
+ranked VM takes over if that VM fails. The number of messages grows with the
+square of the number of regions, not with the square of the number of VMs.
 """
 
 import hashlib
@@ -16,14 +17,14 @@
 from godwitshunt.membership.views import RegionSummary, UpstreamView
 
 SUMMARY_PERIOD_S = 2.0
-# Ranks beyond this wait no longer than it, so that a region with all of its
-# best ranked VMs gone is asked in time.
+# Higher ranks wait as long as this one, so that a region is polled in time
+# even if all of the best ranked VMs have failed.
 MAX_RANK = 4
-# A summary that old says nothing of free capacity any more.
-SUMMARY_LIMIT_S = 30.0
-# How long a request in a full upstream keeps its slot: unknown to a summary,
-# which only has to tell short queues from long ones.
-SLOT_TURN_S = 1.0
+# Older summaries no longer indicate free capacity.
+SUMMARY_TTL_S = 30.0
+# Assumed time for which a request occupies its slot. Summaries have no actual
+# figure; the estimate only has to distinguish short queues from long ones.
+SLOT_HOLD_S = 1.0
 
 
 @dataclass(frozen=True)
@@ -40,52 +41,52 @@
 
 @dataclass(frozen=True)
 class RegionReport:
-    """A region in sum, as one of its VMs told it.
+    """Summary of a region, as reported by one of its VMs.
 
     Parameters
     ----------
-    made_s : float
-        When it was made at the latest possible, in the holder's monotonic
-        seconds.
+    created_s : float
+        When it was created at the earliest, in seconds of this VM's
+        monotonic clock.
     round_trip_s : float
-        Round trip to the region, measured by the VM that asked.
+        Round-trip time to the region, measured by the VM that requested it.
+    capacities : tuple of RegionCapacity
+        Capacity for each service and model.
     absent : frozenset of str
-        Names of the region's VMs that take no requests.
+        Names of the region's VMs that are draining or unresponsive.
     """
 
     region: str
-    made_s: float
+    created_s: float
     round_trip_s: float
     capacities: tuple[RegionCapacity, ...]
     absent: frozenset[str] = frozenset()
 
 
 def predicted_wait_s(upstream: UpstreamView) -> float:
-    """Return the seconds until an upstream would give a first token."""
+    """Return the predicted seconds to the first token of a new request."""
     tokens = upstream.queued_tokens + upstream.sent_tokens_since
     prefill_s = tokens / upstream.prefill_tokens_per_s
-    ahead = upstream.running + upstream.queued + upstream.sent_since
-    excess = max(0, ahead + 1 - upstream.slots)
-    return prefill_s + excess * SLOT_TURN_S / upstream.slots
+    requests = upstream.running + upstream.queued + upstream.sent_since
+    excess = max(0, requests + 1 - upstream.slots)
+    return prefill_s + excess * SLOT_HOLD_S / upstream.slots
 
 
 def free_slots(upstream: UpstreamView) -> int:
-    """Return the slots of an upstream that nothing runs in or waits for."""
-    taken = upstream.running + upstream.queued + upstream.sent_since
-    return max(0, upstream.slots - taken)
+    """Return the slots not needed by running and queued requests."""
+    occupied = upstream.running + upstream.queued + upstream.sent_since
+    return max(0, upstream.slots - occupied)
 
 
 def summarize(views: Iterable[UpstreamView]) -> tuple[RegionCapacity, ...]:
-    """Return a region's capacity for each service and model."""
+    """Return the capacity of upstreams for each service and model."""
     groups: dict[tuple, list[UpstreamView]] = defaultdict(list)
     for view in views:
         if view.leaving:
             continue
         for model in sorted(view.models) or (None,):
             groups[view.service, model].append(view)
-    return tuple(
-        summarize_group(*offered, group) for offered, group in groups.items()
-    )
+    return tuple(summarize_group(*key, group) for key, group in groups.items())
 
 
 def summarize_group(
@@ -106,10 +107,10 @@
 
 
 def rendezvous_order(names: Iterable[str], topic: str) -> tuple[str, ...]:
-    """Return names by their hash with a topic, highest first.
+    """Return names in rendezvous hashing order, highest weight first.
 
-    Each topic has an order of its own, and a name that comes or goes moves
-    no other. [1]_
+    Each topic has its own order, and adding or removing a name does not
+    reorder the others [1]_.
 
     References
     ----------
@@ -117,11 +118,13 @@
        increase hit rates. IEEE/ACM Transactions on Networking, 6(1), 1-14.
     """
     return tuple(
-        sorted(names, key=lambda name: weight(name, topic), reverse=True),
+        sorted(
+            names, key=lambda name: rendezvous_weight(name, topic), reverse=True
+        ),
     )
 
 
-def weight(name: str, topic: str) -> bytes:
+def rendezvous_weight(name: str, topic: str) -> bytes:
     """Return the rendezvous weight of a name for a topic."""
     text = f'{name}\0{topic}'.encode()
     return hashlib.blake2b(text, digest_size=8).digest()
@@ -129,45 +132,53 @@
 
 @dataclass
 class RegionTable:
-    """The newest report of each other region."""
+    """The newest report of each other region.
+
+    Parameters
+    ----------
+    reports : dict
+        Reports by region.
+    requested_s : dict
+        When this VM last polled each region.
+    """
 
     reports: dict[str, RegionReport] = field(default_factory=dict)
-    asked_s: dict[str, float] = field(default_factory=dict)
+    requested_s: dict[str, float] = field(default_factory=dict)
 
-    def learn(self, report: RegionReport) -> bool:
-        """Take a report; return False where a newer one is known."""
+    def apply_report(self, report: RegionReport) -> bool:
+        """Store a report; return False if one as new is known."""
         known = self.reports.get(report.region)
-        if known is not None and known.made_s >= report.made_s:
+        if known is not None and known.created_s >= report.created_s:
             return False
         self.reports[report.region] = report
         return True
 
     def is_due(self, region: str, rank: int, now_s: float) -> bool:
-        """Return whether a VM of this rank asks a region now."""
+        """Return whether a VM of this rank is due to poll a region."""
         known = self.reports.get(region)
-        asked_s = self.asked_s.get(region)
+        requested_s = self.requested_s.get(region)
         newest_s = max(
-            float('-inf') if known is None else known.made_s,
-            float('-inf') if asked_s is None else asked_s,
+            float('-inf') if known is None else known.created_s,
+            float('-inf') if requested_s is None else requested_s,
         )
-        patience = 1 + min(rank, MAX_RANK)
-        return now_s - newest_s >= SUMMARY_PERIOD_S * patience
+        periods = 1 + min(rank, MAX_RANK)
+        return now_s - newest_s >= SUMMARY_PERIOD_S * periods
 
-    def note_asked(self, region: str, now_s: float) -> None:
-        """Wait a period before a silent region is asked again."""
-        self.asked_s[region] = now_s
+    def record_request(self, region: str, now_s: float) -> None:
+        """Record a request, which delays the next one by a period."""
+        self.requested_s[region] = now_s
 
-    def youngest_age_s(self, now_s: float) -> float:
-        """Return the seconds since any other region was heard of."""
-        ages = (now_s - report.made_s for report in self.reports.values())
+    def newest_report_age_s(self, now_s: float) -> float:
+        """Return the age of the newest report of any other region."""
+        ages = (now_s - report.created_s for report in self.reports.values())
         return min(ages, default=float('inf'))
 
-    def views(
+    def current_summaries(
         self,
         vms: dict[str, NamedAddresses],
         now_s: float,
     ) -> tuple[RegionSummary, ...]:
-        """Return the summaries that routing sees.
+        """Return the summaries for routing, without outdated ones.
 
         Parameters
         ----------
@@ -177,17 +188,17 @@
         return tuple(
             summary
             for report in self.reports.values()
-            if now_s - report.made_s < SUMMARY_LIMIT_S
-            for summary in report_views(report, vms, now_s)
+            if now_s - report.created_s < SUMMARY_TTL_S
+            for summary in summaries_of_report(report, vms, now_s)
         )
 
 
-def report_views(
+def summaries_of_report(
     report: RegionReport,
     vms: dict[str, NamedAddresses],
     now_s: float,
 ) -> tuple[RegionSummary, ...]:
-    """Return one region's summaries with their present age."""
+    """Return the summaries in one report, with their current age."""
     present = tuple(
         (name, address)
         for name, address in vms.get(report.region, ())
@@ -203,7 +214,7 @@
             wait_s=capacity.wait_s,
             price=capacity.price,
             round_trip_s=report.round_trip_s,
-            age_s=now_s - report.made_s,
+            age_s=now_s - report.created_s,
             vms=present,
         )
         for capacity in report.capacities
--- a/godwitshunt/membership/table.py
+++ b/godwitshunt/membership/table.py
@@ -1,9 +1,9 @@
-"""Upstreams of a region under leases, as pure logic.
+"""Leased upstreams of a region, without I/O.
 
-An upstream is used while its lease lasts: a bounded time from its own
-announcement, wherever that was received. The highest (incarnation, sequence)
-of a name wins, so late, doubled and reordered messages change nothing, and a
-departure is remembered for longer than any message can be late.
+An upstream is used while its lease lasts: a fixed time from its announcement,
+whichever VM received that. The highest (incarnation, sequence) of a name wins,
+so delayed, duplicate and reordered messages have no effect. Tombstones of
+departed upstreams are retained for longer than any message can be delayed.
 """
 
 from dataclasses import dataclass, field
@@ -37,28 +37,40 @@
 
 MAX_UPSTREAMS = 4096
 MAX_TOMBSTONES = 4096
-# Announcements come over HTTP, whose senders give up within a minute or two:
-# a doubled one is never later than this.
-TOMBSTONE_S = 600.0
-# Ages in views may be this much too small; a lease that runs out is seen at
-# once all the same.
+# Announcements arrive over HTTP, whose clients time out within one or two
+# minutes; no duplicate is delayed for longer than this.
+TOMBSTONE_TTL_S = 600.0
+# Ages in views may be too small by this much. Expired leases take effect
+# immediately in any case.
 VIEW_REFRESH_S = 0.5
 
-END_OF_INCARNATION = 2**63 - 1
+LAST_SEQUENCE = 2**63 - 1
 
 Changes = tuple[UpstreamChange, ...]
 
 
 @dataclass
 class UpstreamTable:
-    """All upstreams of one region as one VM knows them.
+    """The upstreams of one region that a VM knows.
 
     Parameters
     ----------
     region : str
         The VM's region.
     lease_s : float
-        Seconds after an announcement until its upstream gets no more work.
+        Seconds after an announcement until the upstream gets no new requests.
+    records : dict
+        Live upstreams by name.
+    tombstones : dict
+        Departed upstreams by name, oldest first.
+    cached_views : dict
+        Views of the records as of their last change or `views_built_s`.
+    cached_view_tuple : tuple of UpstreamView
+        The same views, as returned to routing.
+    changed_names : set of str
+        Upstreams whose cached view is outdated.
+    next_expiry_s : float
+        When the next lease expires.
     """
 
     region: str
@@ -66,36 +78,36 @@
     records: dict[str, UpstreamRecord] = field(default_factory=dict)
     tombstones: dict[str, Tombstone] = field(default_factory=dict)
     cached_views: dict[str, UpstreamView] = field(default_factory=dict)
-    cached_tuple: tuple[UpstreamView, ...] = ()
-    changed: set[str] = field(default_factory=set)
+    cached_view_tuple: tuple[UpstreamView, ...] = ()
+    changed_names: set[str] = field(default_factory=set)
     views_built_s: float = 0.0
-    next_lapse_s: float = 0.0
+    next_expiry_s: float = 0.0
 
     def apply(self, event: UpstreamEvent, now_s: float) -> Changes:
-        """Take one event and return the changes that it made."""
+        """Apply one event and return the changes that it made."""
         match event:
             case Announced():
-                return self.announced(event, now_s)
+                return self.handle_announced(event, now_s)
             case Gossiped():
-                return self.gossiped(event, now_s)
+                return self.handle_gossiped(event, now_s)
             case Withdrawn():
-                return self.withdrawn(event, now_s)
+                return self.handle_withdrawn(event, now_s)
             case PrefixesChanged():
-                self.prefixes_changed(event)
+                self.handle_prefixes_changed(event)
             case RequestSent() | RequestFinished():
-                self.work_changed(event, now_s)
+                self.handle_request_event(event, now_s)
             case Tick():
-                return self.lapse(now_s)
+                return self.expire_leases(now_s)
         return ()
 
-    def announced(self, event: Announced, now_s: float) -> Changes:
-        """Take an announcement that this VM received itself."""
+    def handle_announced(self, event: Announced, now_s: float) -> Changes:
+        """Apply an announcement that this VM received itself."""
         announcement = event.announcement
-        changes = self.gossiped(as_gossip(event), now_s)
+        changes = self.handle_gossiped(to_gossiped(event), now_s)
         if any(isinstance(change, Stale | Full) for change in changes):
             return changes
         record = self.records[event.name]
-        record.change_prefixes(
+        record.update_prefixes(
             announcement.cached_added,
             announcement.cached_dropped,
         )
@@ -105,37 +117,37 @@
                 announcement.incarnation,
                 announcement.sequence,
             )
-            return self.withdrawn(departure, now_s)
+            return self.handle_withdrawn(departure, now_s)
         return changes
 
-    def gossiped(self, event: Gossiped, now_s: float) -> Changes:
-        """Take an announcement of known age."""
-        stale = self.newer_than(event.name, event.incarnation, event.sequence)
-        if stale is not None:
-            return (stale,)
+    def handle_gossiped(self, event: Gossiped, now_s: float) -> Changes:
+        """Apply an announcement of known age."""
+        newer = self.find_newer(event.name, event.incarnation, event.sequence)
+        if newer is not None:
+            return (newer,)
         if event.age_s >= self.lease_s:
             return (Late(event.name),)
         record = self.records.get(event.name)
         if record is None or record.incarnation != event.incarnation:
-            return self.join(event, now_s)
+            return self.add_upstream(event, now_s)
         details_changed = record.update(event, now_s)
-        self.changed.add(event.name)
+        self.changed_names.add(event.name)
         return (Refreshed(event.name, details_changed),)
 
-    def newer_than(
+    def find_newer(
         self,
         name: str,
         incarnation: int,
         sequence: int,
     ) -> Stale | None:
-        """Return what is known where it is as new or newer."""
-        known = self.newest(name)
+        """Return the known version if it is at least as new."""
+        known = self.newest_version(name)
         if known is None or (incarnation, sequence) > known:
             return None
         return Stale(name, *known)
 
-    def newest(self, name: str) -> tuple[int, int] | None:
-        """Return the highest (incarnation, sequence) known of a name."""
+    def newest_version(self, name: str) -> tuple[int, int] | None:
+        """Return the highest known (incarnation, sequence) of a name."""
         tombstone = self.tombstones.get(name)
         if tombstone is not None:
             return (tombstone.incarnation, tombstone.sequence)
@@ -144,8 +156,8 @@
             return None
         return (record.incarnation, record.sequence)
 
-    def join(self, event: Gossiped, now_s: float) -> Changes:
-        """Add an upstream, or replace an earlier incarnation."""
+    def add_upstream(self, event: Gossiped, now_s: float) -> Changes:
+        """Add an upstream, or replace its earlier incarnation."""
         if event.details is None:
             return (DetailsMissing(event.name),)
         is_full = len(self.records) >= MAX_UPSTREAMS
@@ -153,73 +165,74 @@
             return (Full(event.name),)
         self.records[event.name] = UpstreamRecord.from_event(event, now_s)
         self.tombstones.pop(event.name, None)
-        self.changed.add(event.name)
+        self.changed_names.add(event.name)
         return (Joined(event.name),)
 
-    def withdrawn(self, event: Withdrawn, now_s: float) -> Changes:
-        """Take an upstream out of service and remember that it left."""
+    def handle_withdrawn(self, event: Withdrawn, now_s: float) -> Changes:
+        """Remove an upstream that departed and record a tombstone."""
         sequence = event.sequence
         if sequence is None:
-            sequence = END_OF_INCARNATION
-        known = self.newest(event.name)
+            sequence = LAST_SEQUENCE
+        known = self.newest_version(event.name)
         departure = (event.incarnation, sequence)
-        # An announcement that says *leaving* was entered just before with the
-        # same pair; only a tombstone as new makes this one a repetition.
-        repeated = event.name in self.tombstones and departure == known
-        if repeated or (known is not None and departure < known):
+        # An announcement with `leaving` has just been recorded with the same
+        # version, so an equal version is a duplicate only if it is in a
+        # tombstone.
+        is_duplicate = event.name in self.tombstones and departure == known
+        if is_duplicate or (known is not None and departure < known):
             return (Stale(event.name, *known),)
-        self.remove(event.name, departure, now_s)
+        self.remove_upstream(event.name, departure, now_s)
         return (Left(event.name, *departure),)
 
-    def remove(
+    def remove_upstream(
         self,
         name: str,
         departure: tuple[int, int],
         now_s: float,
     ) -> None:
-        """Drop a record and keep a tombstone in its place."""
+        """Replace a record by a tombstone."""
         self.records.pop(name, None)
         self.tombstones.pop(name, None)
         if len(self.tombstones) >= MAX_TOMBSTONES:
             oldest = next(iter(self.tombstones))
             self.tombstones.pop(oldest)
         self.tombstones[name] = Tombstone(*departure, now_s)
-        self.changed.add(name)
+        self.changed_names.add(name)
 
-    def lapse(self, now_s: float) -> Changes:
-        """Take out every upstream whose lease has run out."""
-        lapsed = [
+    def expire_leases(self, now_s: float) -> Changes:
+        """Remove every upstream whose lease has expired."""
+        expired = [
             (name, record)
             for name, record in self.records.items()
             if now_s - record.announced_s >= self.lease_s
         ]
-        for name, record in lapsed:
-            pair = (record.incarnation, record.sequence)
-            self.remove(name, pair, now_s)
-        self.forget_tombstones(now_s)
-        return tuple(Lapsed(gone) for gone, _ in lapsed)
+        for name, record in expired:
+            version = (record.incarnation, record.sequence)
+            self.remove_upstream(name, version, now_s)
+        self.expire_tombstones(now_s)
+        return tuple(Lapsed(expired_name) for expired_name, _ in expired)
 
-    def forget_tombstones(self, now_s: float) -> None:
-        """Drop tombstones that no message can be later than."""
-        # Tombstones stand in the order in which they were made.
+    def expire_tombstones(self, now_s: float) -> None:
+        """Remove tombstones older than any possible message delay."""
+        # Tombstones are ordered by creation time.
         while self.tombstones:
             name = next(iter(self.tombstones))
-            if now_s - self.tombstones[name].made_s < TOMBSTONE_S:
+            if now_s - self.tombstones[name].created_s < TOMBSTONE_TTL_S:
                 return
             self.tombstones.pop(name)
 
-    def prefixes_changed(self, event: PrefixesChanged) -> None:
-        """Take what a peer passed on of an upstream's prefix cache."""
+    def handle_prefixes_changed(self, event: PrefixesChanged) -> None:
+        """Apply relayed changes of an upstream's prefix cache."""
         record = self.records.get(event.name)
         if record is None or record.incarnation != event.incarnation:
             return
-        record.change_prefixes(event.added, event.dropped)
-        self.changed.add(event.name)
+        record.update_prefixes(event.added, event.dropped)
+        self.changed_names.add(event.name)
 
-    def work_changed(
+    def handle_request_event(
         self, event: RequestSent | RequestFinished, now_s: float
     ) -> None:
-        """Count what this VM sent to an upstream."""
+        """Record the start or end of a request of this VM."""
         record = self.records.get(event.name)
         if record is None:
             return
@@ -227,64 +240,66 @@
             record.record_sent(event.tokens, now_s)
         else:
             record.record_finished(event.tokens, now_s)
-        self.changed.add(event.name)
+        self.changed_names.add(event.name)
 
     def views(self, now_s: float) -> tuple[UpstreamView, ...]:
-        """Return every upstream under a lease.
+        """Return the view of every upstream with a valid lease.
 
         Returns
         -------
         tuple of UpstreamView
-            The same object as before where nothing changed.
+            The same object as before if nothing has changed.
         """
-        if now_s >= self.next_lapse_s:
-            self.lapse(now_s)
+        if now_s >= self.next_expiry_s:
+            self.expire_leases(now_s)
             self.views_built_s = float('-inf')
         if now_s - self.views_built_s >= VIEW_REFRESH_S:
             self.rebuild_all(now_s)
-        elif self.changed:
+        elif self.changed_names:
             self.rebuild_changed(now_s)
-        return self.cached_tuple
+        return self.cached_view_tuple
 
     def rebuild_all(self, now_s: float) -> None:
-        """Build each view anew, with its present age."""
+        """Rebuild all views, with their current age."""
         self.cached_views = {
             name: record.view(name, self.region, now_s)
             for name, record in self.records.items()
         }
         self.views_built_s = now_s
-        self.next_lapse_s = self.lease_s + min(
+        self.next_expiry_s = self.lease_s + min(
             (record.announced_s for record in self.records.values()),
             default=float('inf'),
         )
-        self.finish_views()
+        self.cache_views()
 
     def rebuild_changed(self, now_s: float) -> None:
-        """Build the views of changed upstreams anew."""
-        for name in self.changed:
+        """Rebuild the views of changed upstreams."""
+        for name in self.changed_names:
             record = self.records.get(name)
             if record is None:
                 self.cached_views.pop(name, None)
             else:
                 view = record.view(name, self.region, now_s)
                 self.cached_views[name] = view
-                lapse_s = record.announced_s + self.lease_s
-                self.next_lapse_s = min(self.next_lapse_s, lapse_s)
-        self.finish_views()
+                expiry_s = record.announced_s + self.lease_s
+                self.next_expiry_s = min(self.next_expiry_s, expiry_s)
+        self.cache_views()
 
-    def finish_views(self) -> None:
-        """Keep the views as one tuple, the same until the next change."""
-        self.changed.clear()
-        self.cached_tuple = tuple(self.cached_views.values())
+    def cache_views(self) -> None:
+        """Cache the views as one tuple until the next change."""
+        self.changed_names.clear()
+        self.cached_view_tuple = tuple(self.cached_views.values())
 
-    def departures(self, limit: int) -> tuple[tuple[str, Tombstone], ...]:
+    def newest_tombstones(
+        self, limit: int
+    ) -> tuple[tuple[str, Tombstone], ...]:
         """Return the newest tombstones, at most `limit`."""
         newest_first = reversed(self.tombstones.items())
         return tuple(islice(newest_first, limit))
 
 
-def as_gossip(event: Announced) -> Gossiped:
-    """Return an own announcement in the form of one just passed on."""
+def to_gossiped(event: Announced) -> Gossiped:
+    """Return a first-hand announcement in the form of a relayed one."""
     announcement: UpstreamAnnouncement = event.announcement
     return Gossiped(
         name=event.name,
--- a/godwitshunt/membership/task.py
+++ b/godwitshunt/membership/task.py
@@ -1,4 +1,4 @@
-"""The task that keeps a VM's view of upstreams and regions."""
+"""Task that maintains a VM's view of upstreams and regions."""
 
 from typing import Self
 
@@ -28,14 +28,14 @@
     Withdrawn,
 )
 from godwitshunt.membership.isolation import (
-    Connection,
-    News,
-    connection,
-    holds_itself_isolated,
+    ConnectionState,
+    ContactAges,
+    connection_state,
+    requires_isolation,
 )
 from godwitshunt.membership.peers import RegionPeers
 from godwitshunt.membership.region_gossip import RegionGossip
-from godwitshunt.membership.regions import RegionWatch
+from godwitshunt.membership.region_poller import RegionPoller
 from godwitshunt.membership.summaries import RegionReport, summarize
 from godwitshunt.membership.table import MAX_UPSTREAMS, UpstreamTable
 from godwitshunt.membership.views import RegionView
@@ -46,23 +46,23 @@
 from godwitshunt.timer import Subscription, Timer
 
 REGION_CHECK_S = 0.5
-# Summaries in a view may be this much older than they say.
+# Summaries in a view may be older than their stated age by this much.
 SUMMARY_REFRESH_S = 0.2
 
 
 class MembershipTask:
-    """Keeps upstream leases, gossips them, and exchanges summaries.
+    """Maintains upstream leases, gossips them, and exchanges summaries.
 
     Parameters
     ----------
     settings : EntrySettings
-        The VM's name, region and leases.
+        The VM's name and region, and the lease durations.
     links : PeerLinks
         Links to the other VMs.
     timer : Timer
         Monotonic time.
     metrics : Metrics
-        Counts changes and dropped messages.
+        Counts upstream changes and dropped messages.
     """
 
     def __init__(
@@ -78,15 +78,15 @@
         self.metrics = metrics
         self.table = UpstreamTable(settings.region, settings.upstream_lease_s)
         self.peers = RegionPeers(settings.name, settings.region)
-        self.watch = RegionWatch(self.peers, links, timer, metrics)
+        self.region_poller = RegionPoller(self.peers, links, timer, metrics)
         self.gossip = RegionGossip(
             self.peers,
             self.table,
-            self.take,
-            self.watch,
+            self.apply_event,
+            self.region_poller,
         )
         self.subscriptions: list[Subscription] = []
-        self.connection = Connection.connected
+        self.connection_state = ConnectionState.connected
         self.cached_view = RegionView(settings.region)
         self.summaries_built_s = float('-inf')
 
@@ -98,48 +98,52 @@
         timer: Timer,
         metrics: Metrics,
     ) -> Self:
-        """Make the task of an entry VM."""
+        """Create the task of an entry VM."""
         return cls(settings, links, timer, metrics)
 
     async def start(self) -> None:
-        """Take messages of peers and begin to gossip."""
-        self.links.subscribe(MessageKind.region_summary, self.answer_summary)
+        """Subscribe to messages and start gossip and region polls."""
+        self.links.subscribe(
+            MessageKind.region_summary, self.handle_summary_request
+        )
         self.subscriptions = [
-            self.timer.every(REGION_CHECK_S, self.watch.ask_regions),
+            self.timer.every(
+                REGION_CHECK_S, self.region_poller.poll_due_regions
+            ),
         ]
         self.gossip.start()
 
     async def close(self) -> None:
-        """Send and ask no more."""
+        """Stop gossip and region polls."""
         for subscription in self.subscriptions:
             subscription.cancel()
         await self.gossip.close()
-        await self.watch.close()
+        await self.region_poller.close()
 
     def apply_revision(self, revision: Revision) -> None:
-        """Follow the admitted VMs of a newer revision."""
-        known = frozenset(self.peers.own)
+        """Apply the VMs of a newer revision."""
+        previous = frozenset(self.peers.local_peers)
         self.peers.apply_revision(revision)
-        self.gossip.follow_peers(known)
+        self.gossip.handle_peer_change(previous)
 
     def announce(
         self,
         name: str,
         announcement: UpstreamAnnouncement,
     ) -> Result[AnnounceAccepted, AnnounceRefused]:
-        """Take an announcement that an upstream sent to this VM."""
-        changes = self.take(Announced(name, announcement))
+        """Apply an announcement that an upstream sent to this VM."""
+        changes = self.apply_event(Announced(name, announcement))
         match changes[-1]:
             case Stale() as stale:
                 return Err(StaleAnnouncement(stale.incarnation, stale.sequence))
             case Full():
                 return Err(TableFull(MAX_UPSTREAMS))
             case Left() as left:
-                self.gossip.sender.note_left(left)
+                self.gossip.batch_builder.record_departure(left)
                 self.gossip.flush()
                 return Ok(AnnounceAccepted(0))
-        self.gossip.sender.note_load(name)
-        self.gossip.sender.note_prefixes(
+        self.gossip.batch_builder.record_load(name)
+        self.gossip.batch_builder.record_prefixes(
             name,
             announcement.cached_added,
             announcement.cached_dropped,
@@ -153,16 +157,16 @@
         name: str,
         incarnation: int,
     ) -> Result[AnnounceAccepted, AnnounceRefused]:
-        """End an upstream's incarnation; it gets no new work."""
-        change = self.take(Withdrawn(name, incarnation))[-1]
+        """End an upstream's incarnation; it gets no new requests."""
+        change = self.apply_event(Withdrawn(name, incarnation))[-1]
         if isinstance(change, Stale):
             return Err(StaleAnnouncement(change.incarnation, change.sequence))
-        self.gossip.sender.note_left(change)
+        self.gossip.batch_builder.record_departure(change)
         self.gossip.flush()
         return Ok(AnnounceAccepted(0))
 
     def view(self, quorum_age_s: float) -> RegionView:
-        """Return what a routing decision needs; the same object if unchanged.
+        """Return the view for routing; the same object if unchanged.
 
         Parameters
         ----------
@@ -175,7 +179,9 @@
         cached = self.cached_view
         summaries = cached.summaries
         if now_s - self.summaries_built_s >= SUMMARY_REFRESH_S:
-            summaries = self.watch.table.views(self.peers.http, now_s)
+            summaries = self.region_poller.table.current_summaries(
+                self.peers.remote_http, now_s
+            )
             self.summaries_built_s = now_s
         if (
             upstreams is cached.upstreams
@@ -192,39 +198,41 @@
         return self.cached_view
 
     def is_isolated(self, quorum_age_s: float, now_s: float) -> bool:
-        """Return whether this VM keeps to its region; log a change."""
-        news = News(quorum_age_s, self.watch.table.youngest_age_s(now_s))
-        state = connection(news, self.settings.isolation_lease_s)
-        if state is not self.connection:
+        """Return whether this VM is isolated; log state changes."""
+        ages = ContactAges(
+            quorum_age_s, self.region_poller.table.newest_report_age_s(now_s)
+        )
+        state = connection_state(ages, self.settings.isolation_lease_s)
+        if state is not self.connection_state:
             log_change('membership:connection', state=str(state))
-            self.connection = state
-        return holds_itself_isolated(state)
+            self.connection_state = state
+        return requires_isolation(state)
 
     def record_sent(self, upstream: str, tokens: int) -> None:
-        """Count a request sent to an upstream of this region."""
+        """Record a request sent to an upstream of this region."""
         self.table.apply(RequestSent(upstream, tokens), self.timer.now())
 
     def record_finished(self, upstream: str, tokens: int) -> None:
-        """Stop counting a request that is over."""
+        """Record the end of a request sent to an upstream."""
         self.table.apply(RequestFinished(upstream, tokens), self.timer.now())
 
     def announce_draining(self) -> None:
-        """Tell the region that this VM takes no new requests."""
+        """Announce to the region that this VM accepts no new requests."""
         self.gossip.announce_draining()
 
     def unavailable_vms(self) -> frozenset[str]:
-        """Return the region's VMs that drain or are not heard of."""
+        """Return the region's VMs that are draining or unresponsive."""
         return self.gossip.unavailable_vms()
 
-    def take(self, event: UpstreamEvent) -> tuple[UpstreamChange, ...]:
-        """Apply an event to the table; count and log what it changed."""
+    def apply_event(self, event: UpstreamEvent) -> tuple[UpstreamChange, ...]:
+        """Apply an event to the table; count and log the changes."""
         changes = self.table.apply(event, self.timer.now())
         for change in changes:
-            self.record(change)
+            self.record_change(change)
         return changes
 
-    def record(self, change: UpstreamChange) -> None:
-        """Count a change, and log it where an upstream comes or goes."""
+    def record_change(self, change: UpstreamChange) -> None:
+        """Count a change; log it if an upstream joined or departed."""
         match change:
             case Joined() | Left() | Lapsed():
                 kind = type(change).__name__.lower()
@@ -234,14 +242,16 @@
                 reason = type(change).__name__.lower()
                 self.metrics.count('membership_dropped_total', reason=reason)
 
-    async def answer_summary(self, sender: str, body: bytes) -> bytes | None:
-        """Answer another region's VM with this region in sum."""
-        if sender not in self.peers.everywhere:
+    async def handle_summary_request(
+        self, sender: str, body: bytes
+    ) -> bytes | None:
+        """Reply to a VM with the summary of this region."""
+        if sender not in self.peers.all_names:
             return None
         now_s = self.timer.now()
         report = RegionReport(
             region=self.settings.region,
-            made_s=now_s,
+            created_s=now_s,
             round_trip_s=0,
             capacities=summarize(self.table.views(now_s)),
             absent=self.unavailable_vms(),
--- a/godwitshunt/membership/tests/network.py
+++ b/godwitshunt/membership/tests/network.py
@@ -1,4 +1,4 @@
-"""Links between tasks of one test, on virtual time and with faults."""
+"""In-memory peer links with faults, on virtual time."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 from godwitshunt.settings import Address, EntrySettings
 from godwitshunt.timer import VirtualTimerService
 
-DELAY_S = 0.001
+LINK_DELAY_S = 0.001
 
 
 @dataclass
@@ -25,48 +25,52 @@
 
     Parameters
     ----------
-    cut : set of (str, str)
-        Directions that lose everything.
-    held : set of (str, str)
-        Directions that keep everything until `release`, as a frozen
-        process or a full buffer does.
+    partitioned : set of (str, str)
+        Pairs of sender and receiver between which all messages are lost.
+    stalled : set of (str, str)
+        Pairs of sender and receiver between which all messages are delayed
+        until `release`, as by a suspended process or a full buffer.
     copies : int
-        Times that each message arrives.
+        How often each message is delivered.
+    stalled_messages : list
+        Directions and delivery callbacks of the delayed messages.
+    sent : list of (str, str, int, int)
+        Sender, receiver, kind and length of each message.
     """
 
     timer: VirtualTimerService = field(default_factory=VirtualTimerService)
     partitioned: set[tuple[str, str]] = field(default_factory=set)
     stalled: set[tuple[str, str]] = field(default_factory=set)
     copies: int = 1
-    waiting: list[tuple] = field(default_factory=list)
+    stalled_messages: list[tuple] = field(default_factory=list)
     links: dict[Address, 'FakeLinks'] = field(default_factory=dict)
     sent: list[tuple[str, str, int, int]] = field(default_factory=list)
 
     def join(self, name: str, address: Address) -> 'FakeLinks':
-        """Return the links of a process; one that restarts has new ones."""
+        """Return new links for a process, in place of earlier ones."""
         self.links[address] = FakeLinks(name, self, address)
         return self.links[address]
 
-    def carry(self, way: tuple[str, str], arrive: object) -> None:
-        """Let a message arrive, or not."""
-        if way in self.partitioned:
+    def transmit(self, direction: tuple[str, str], deliver: object) -> None:
+        """Deliver, delay or drop a message."""
+        if direction in self.partitioned:
             return
-        if way in self.stalled:
-            self.waiting.append((way, arrive))
+        if direction in self.stalled:
+            self.stalled_messages.append((direction, deliver))
             return
         for _ in range(self.copies):
-            self.timer.after(DELAY_S, arrive)
+            self.timer.after(LINK_DELAY_S, deliver)
 
     def release(self) -> None:
-        """Let everything that was held arrive, in its order."""
+        """Deliver all delayed messages in order and stop delaying."""
         self.stalled.clear()
-        waiting = tuple(self.waiting)
-        self.waiting.clear()
-        for way, arrive in waiting:
-            self.carry(way, arrive)
+        messages = tuple(self.stalled_messages)
+        self.stalled_messages.clear()
+        for direction, deliver in messages:
+            self.transmit(direction, deliver)
 
     async def advance(self, duration_s: float) -> None:
-        """Let time pass in steps, and tasks run between them."""
+        """Advance virtual time in steps and run tasks between them."""
         end_s = self.timer.now() + duration_s
         while self.timer.now() < end_s - 1e-9:
             self.timer.advance(min(0.005, end_s - self.timer.now()))
@@ -76,7 +80,7 @@
 
 @dataclass
 class FakeLinks:
-    """Stands in for `PeerLinks`."""
+    """In-memory replacement of `PeerLinks`."""
 
     name: str
     network: FakeNetwork
@@ -90,52 +94,55 @@
         self.send(address, kind, body, None)
 
     async def call(self, address, kind, body, timeout_s):
-        reply = asyncio.get_running_loop().create_future()
-        self.network.timer.after(timeout_s, lambda: settle(reply, None))
+        future = asyncio.get_running_loop().create_future()
+        self.network.timer.after(timeout_s, lambda: resolve(future, None))
         if address not in self.network.links:
-            return Err(NotSent(str(address), 'nobody'))
-        self.send(address, kind, body, reply)
-        answer = await reply
-        if answer is None:
+            return Err(
+                NotSent(str(address), 'no process listens at this address')
+            )
+        self.send(address, kind, body, future)
+        reply = await future
+        if reply is None:
             return Err(OutcomeUnknown(str(address), 'no reply in time'))
-        return Ok(answer)
+        return Ok(reply)
 
-    def send(self, address, kind, body, reply) -> None:
+    def send(self, address, kind, body, future) -> None:
         peer = self.network.links.get(address)
-        # A process that was killed sends nothing more.
+        # The links of a killed or restarted process send no messages.
         is_alive = self.network.links.get(self.address) is self
         if peer is None or not is_alive:
             return
         self.network.sent.append((self.name, peer.name, kind, len(body)))
 
-        async def handle() -> None:
+        async def handle_message() -> None:
             handler = peer.handlers.get(kind)
-            answer = handler and await handler(self.name, body)
-            if answer is not None and reply is not None:
-                self.network.carry(
+            reply = handler and await handler(self.name, body)
+            if reply is not None and future is not None:
+                self.network.transmit(
                     (peer.name, self.name),
-                    lambda: settle(reply, answer),
+                    lambda: resolve(future, reply),
                 )
 
-        def arrive() -> None:
-            job = asyncio.get_running_loop().create_task(handle())
-            JOBS.add(job)
-            job.add_done_callback(JOBS.discard)
+        def deliver() -> None:
+            task = asyncio.get_running_loop().create_task(handle_message())
+            RUNNING_TASKS.add(task)
+            task.add_done_callback(RUNNING_TASKS.discard)
 
-        self.network.carry((self.name, peer.name), arrive)
+        self.network.transmit((self.name, peer.name), deliver)
 
 
-JOBS: set = set()
+# Strong references to running tasks, which the event loop does not hold.
+RUNNING_TASKS: set = set()
 
 
-def settle(future, answer) -> None:
-    """Resolve a future that may be resolved already."""
+def resolve(future, reply) -> None:
+    """Set a future's result unless it is done."""
     if not future.done():
-        future.set_result(answer)
+        future.set_result(reply)
 
 
 def vm_record(name: str, region: str, number: int) -> VmRecord:
-    """Return a VM with made-up addresses."""
+    """Return the record of an entry VM with generated addresses."""
     return VmRecord(
         name=name,
         region=region,
@@ -151,7 +158,7 @@
     holders: tuple[HolderSet, ...] = (),
     number: int = 1,
 ) -> Revision:
-    """Return a revision with these VMs and holders."""
+    """Return a revision with the given VMs and claim holders."""
     regions = sorted({vm.region for vm in vms})
     manifest = Manifest.model_validate(
         {
--- a/godwitshunt/membership/tests/test_isolation.py
+++ b/godwitshunt/membership/tests/test_isolation.py
@@ -1,13 +1,13 @@
-"""When a VM keeps to its region, and whom it serves then."""
+"""Isolation of a VM, and which callers it then serves."""
 
 import pytest
 
 from godwitshunt.membership.isolation import (
-    Connection,
-    News,
-    connection,
-    holds_itself_isolated,
+    ConnectionState,
+    ContactAges,
+    connection_state,
     may_serve_isolated,
+    requires_isolation,
 )
 
 LEASE_S = 3.0
@@ -17,27 +17,29 @@
 @pytest.mark.parametrize(
     ('quorum_age_s', 'regions_age_s', 'state'),
     [
-        (0.0, NEVER, Connection.connected),
-        (2.9, 9.0, Connection.connected),
-        (3.0, 0.1, Connection.control_lost),
-        (NEVER, 2.9, Connection.control_lost),
-        (3.0, 3.0, Connection.isolated),
-        (NEVER, NEVER, Connection.isolated),
+        (0.0, NEVER, ConnectionState.connected),
+        (2.9, 9.0, ConnectionState.connected),
+        (3.0, 0.1, ConnectionState.control_lost),
+        (NEVER, 2.9, ConnectionState.control_lost),
+        (3.0, 3.0, ConnectionState.isolated),
+        (NEVER, NEVER, ConnectionState.isolated),
     ],
 )
-def test_only_news_of_a_quorum_keeps_a_vm_from_isolation(
+def test_only_contact_with_a_quorum_prevents_isolation(
     quorum_age_s,
     regions_age_s,
     state,
 ):
-    """A partition cuts a VM from control, from other regions, or from both.
+    """A VM is partitioned from control, from other regions, or from both.
 
-    Other regions may be cut from control with it: their answers do not prove
-    that the configuration is current.
+    The other regions may be partitioned from control too, so their replies do
+    not prove that the configuration is current.
     """
-    told = connection(News(quorum_age_s, regions_age_s), LEASE_S)
-    assert told is state
-    assert holds_itself_isolated(told) is (quorum_age_s >= LEASE_S)
+    observed = connection_state(
+        ContactAges(quorum_age_s, regions_age_s), LEASE_S
+    )
+    assert observed is state
+    assert requires_isolation(observed) is (quorum_age_s >= LEASE_S)
 
 
 @pytest.mark.parametrize(
@@ -51,13 +53,13 @@
         ('zagreb', 'zagreb', False),
     ],
 )
-def test_an_isolated_vm_serves_the_unrestricted_and_its_own(
+def test_an_isolated_vm_serves_unrestricted_and_local_callers(
     allowed,
     home,
     serves,
 ):
-    """A restricted caller of another home asks an isolated VM of Split."""
+    """An isolated VM in Split refuses restricted callers of another home."""
     regions = frozenset(allowed.split())
-    every_region = frozenset(('split', 'zagreb'))
-    told = may_serve_isolated(regions, every_region, home, 'split')
-    assert told is serves
+    all_regions = frozenset(('split', 'zagreb'))
+    observed = may_serve_isolated(regions, all_regions, home, 'split')
+    assert observed is serves
--- a/godwitshunt/membership/tests/test_table.py
+++ b/godwitshunt/membership/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Upstream leases on virtual time: what each message may change."""
+"""Upstream leases, and which messages may change the upstream table."""
 
 import pytest
 from pydantic import ValidationError
@@ -25,7 +25,7 @@
 from godwitshunt.membership.table import (
     MAX_TOMBSTONES,
     MAX_UPSTREAMS,
-    TOMBSTONE_S,
+    TOMBSTONE_TTL_S,
 )
 from godwitshunt.settings import Address
 
@@ -45,19 +45,19 @@
 
 
 def announced(incarnation=1, sequence=1, name='e1', **fields) -> Announced:
-    """Return the event of an announcement to this VM."""
+    """Return the event of a first-hand announcement."""
     return Announced(name, announcement(incarnation, sequence, **fields))
 
 
 def gossiped(incarnation=1, sequence=1, age_s=0.0, details=DETAILS):
-    """Return the event of an announcement that a peer passed on."""
+    """Return the event of an announcement that a peer relayed."""
     load = UpstreamLoad(running=sequence)
-    pair = (incarnation, sequence)
-    return Gossiped('e1', *pair, load, age_s, age_s + 0.1, details)
+    version = (incarnation, sequence)
+    return Gossiped('e1', *version, load, age_s, age_s + 0.1, details)
 
 
 def names(table: UpstreamTable, now_s: float) -> list[str]:
-    """Return the names of the upstreams that may get work."""
+    """Return the names of the upstreams that may get requests."""
     return [view.name for view in table.views(now_s)]
 
 
@@ -71,13 +71,17 @@
         ),
         pytest.param([], gossiped(age_s=2.5), Late, False, id='late'),
         pytest.param(
-            [announced(1, 2)], gossiped(1, 2), Stale, True, id='doubled'
+            [announced(1, 2)], gossiped(1, 2), Stale, True, id='duplicate'
         ),
         pytest.param(
             [announced(1, 2)], gossiped(1, 1), Stale, True, id='reordered'
         ),
         pytest.param(
-            [announced(2, 1)], gossiped(1, 9), Stale, True, id='earlier-life'
+            [announced(2, 1)],
+            gossiped(1, 9),
+            Stale,
+            True,
+            id='earlier-incarnation',
         ),
         pytest.param(
             [announced(1, 9)], gossiped(2, 1), Joined, True, id='restarted'
@@ -101,17 +105,21 @@
             gossiped(1, 99),
             Stale,
             False,
-            id='same-life-after-withdrawal',
+            id='same-incarnation-after-withdrawal',
         ),
         pytest.param(
             [announced(1, 1), Withdrawn('e1', 1)],
             gossiped(2, 1),
             Joined,
             True,
-            id='next-life-after-withdrawal',
+            id='next-incarnation-after-withdrawal',
         ),
         pytest.param(
-            [announced(2, 1)], Withdrawn('e1', 1), Stale, True, id='old-leave'
+            [announced(2, 1)],
+            Withdrawn('e1', 1),
+            Stale,
+            True,
+            id='outdated-withdrawal',
         ),
         pytest.param(
             [announced(1, 3)],
@@ -125,29 +133,30 @@
             gossiped(1, 4),
             Stale,
             False,
-            id='overtaken',
+            id='reordered-after-withdrawal',
         ),
     ],
 )
-def test_the_highest_pair_of_a_name_wins(before, event, change, live):
-    """Messages come late, twice, in another order, or not at all.
+def test_the_highest_version_of_a_name_wins(before, event, change, live):
+    """Messages are delayed, duplicated, reordered or lost.
 
-    An older one that counted would send work to an upstream that is gone, or
-    hide one that has come back.
+    If an older one were applied, requests would go to a departed upstream, or
+    a restarted upstream would be hidden.
     """
     table = UpstreamTable('split')
-    for earlier in before:
-        table.apply(earlier, 10.0)
+    for earlier_event in before:
+        table.apply(earlier_event, 10.0)
     changes = table.apply(event, 10.5)
     assert isinstance(changes[-1], change)
     assert bool(names(table, 10.5)) is live
 
 
 @pytest.mark.parametrize('age_s', [0.0, 1.0, 2.4])
-def test_the_lease_counts_from_the_announcement(age_s):
-    """An upstream dies without a word, and peers hear its last word late.
+def test_the_lease_starts_at_the_announcement(age_s):
+    """An upstream fails, and its last announcement reaches peers late.
 
-    Each VM stops using it 2.5 s after that word, however long it travelled.
+    Each VM stops using it 2.5 s after that announcement was made, however long
+    the gossip took.
     """
     table = UpstreamTable('split')
     table.apply(gossiped(age_s=age_s), 10.0)
@@ -156,10 +165,10 @@
     assert names(table, end_s + 0.001) == []
 
 
-def test_a_lapsed_upstream_returns_only_with_a_newer_announcement():
-    """The last announcement arrives again after its lease ran out.
+def test_an_expired_upstream_returns_only_with_a_newer_announcement():
+    """A duplicate of the last announcement arrives after its lease expired.
 
-    It must not begin a second lease; the upstream's next one must.
+    It must not start a second lease; the upstream's next announcement must.
     """
     table = UpstreamTable('split')
     table.apply(announced(1, 5), 0.0)
@@ -168,27 +177,27 @@
     assert isinstance(table.apply(announced(1, 6), 3.2)[-1], Joined)
 
 
-def test_tombstones_outlast_messages_and_stay_bounded():
-    """Upstreams come and go for months, each under a name of its own.
+def test_tombstones_outlive_messages_and_are_bounded():
+    """Upstreams with ever new names join and depart for months.
 
-    What is remembered of them must not grow without end, and a doubled
-    announcement minutes after a departure must still be refused.
+    The number of tombstones must stay bounded, and a duplicate announcement
+    minutes after a departure must still be rejected.
     """
     table = UpstreamTable('split')
     table.apply(Withdrawn('e1', 1), 0.0)
-    late = table.apply(announced(1, 7), TOMBSTONE_S - 1)
-    assert isinstance(late[-1], Stale)
+    changes = table.apply(announced(1, 7), TOMBSTONE_TTL_S - 1)
+    assert isinstance(changes[-1], Stale)
     for number in range(MAX_TOMBSTONES + 10):
         table.apply(Withdrawn(f'u{number}', 1), 1.0)
     assert len(table.tombstones) == MAX_TOMBSTONES
-    table.apply(Tick(), TOMBSTONE_S + 2.0)
+    table.apply(Tick(), TOMBSTONE_TTL_S + 2.0)
     assert not table.tombstones
 
 
-def test_a_full_table_refuses_new_names_only():
-    """Something announces itself under ever new names.
+def test_a_full_table_rejects_new_names_only():
+    """A faulty client announces itself under ever new names.
 
-    Upstreams that are known keep their leases.
+    Known upstreams keep their leases.
     """
     table = UpstreamTable('split')
     for number in range(MAX_UPSTREAMS):
@@ -198,10 +207,11 @@
     assert isinstance(refreshed[-1], Refreshed)
 
 
-def test_load_since_the_measurement_is_added_once():
-    """A report arrives that was measured before some requests were sent.
+def test_requests_since_the_measurement_are_counted_once():
+    """A load was measured before this VM sent some of its requests.
 
-    Counting them twice or not at all would crowd or starve the upstream.
+    If they were counted twice or not at all, the upstream would get too few or
+    too many requests.
     """
     table = UpstreamTable('split')
     table.apply(announced(1, 1), 0.0)
@@ -217,10 +227,10 @@
     assert table.views(1.1)[0].sent_tokens_since == 200
 
 
-def test_requests_of_a_late_report_that_have_ended_hold_no_slot():
-    """A report is two seconds late and most of what it counts has ended.
+def test_finished_requests_of_a_delayed_report_occupy_no_slot():
+    """A load report is delayed and most of its requests have ended.
 
-    Counted on, they would keep a free upstream looking full.
+    If they were still counted, a free upstream would appear full.
     """
     table = UpstreamTable('split')
     table.apply(announced(1, 1), 0.0)
@@ -234,12 +244,12 @@
     assert table.views(1.2)[0].finished_since == 0
 
 
-def test_views_are_kept_between_changes_and_follow_prefixes():
-    """The same object says that a decision sees nothing new."""
+def test_views_are_cached_between_changes_and_include_prefixes():
+    """Routing recognises an unchanged view by its object identity."""
     table = UpstreamTable('split')
     table.apply(announced(cached_added=(1, 2), cached_dropped=(9,)), 0.0)
-    first = table.views(0.01)
-    assert table.views(0.02) is first
+    first_views = table.views(0.01)
+    assert table.views(0.02) is first_views
     table.apply(PrefixesChanged('e1', 1, (3,), (1,)), 0.03)
     assert table.views(0.04)[0].cached_prefixes == {2, 3}
     assert table.views(0.6)[0].report_age_s == pytest.approx(0.6)
@@ -259,8 +269,8 @@
         {'colour': 'red'},
     ],
 )
-def test_announcements_are_bounded_and_checked(fields):
-    """An upstream announces nonsense: it gets an error and no work."""
+def test_invalid_announcements_are_rejected(fields):
+    """Announcements with out-of-range or unknown fields are rejected."""
     body = announcement().model_dump() | fields
     with pytest.raises(ValidationError):
         UpstreamAnnouncement.model_validate(body)
--- a/godwitshunt/membership/tests/test_task.py
+++ b/godwitshunt/membership/tests/test_task.py
@@ -1,4 +1,4 @@
-"""Membership tasks that gossip, on virtual time and over real sockets."""
+"""Gossip between membership tasks, on virtual time and real sockets."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -41,18 +41,18 @@
 
 
 class Region:
-    """Tasks of the VMs above on one fake network."""
+    """Membership tasks of the VMs in `VMS` on one fake network."""
 
     def __init__(self) -> None:
         self.network = FakeNetwork()
         self.tasks: dict[str, MembershipTask] = {}
 
     async def start(self, name: str) -> MembershipTask:
-        """Start a VM, or start it again with an empty memory."""
+        """Start a VM, or restart it without its state."""
         vm = next(vm for vm in VMS if vm.name == name)
-        earlier = self.tasks.pop(name, None)
-        if earlier is not None:
-            await earlier.close()
+        previous = self.tasks.pop(name, None)
+        if previous is not None:
+            await previous.close()
         links = self.network.join(name, vm.peer)
         task = MembershipTask.from_config(
             entry_settings(vm),
@@ -65,13 +65,13 @@
         self.tasks[name] = task
         return task
 
-    def seen(self, name: str) -> list[str]:
-        """Return the upstreams that a VM would use."""
+    def upstream_names(self, name: str) -> list[str]:
+        """Return the names of the upstreams that a VM would use."""
         view = self.tasks[name].view(0)
         return [upstream.name for upstream in view.upstreams]
 
     async def announce(self, vm: str, seconds: int, first: int = 1) -> None:
-        """Let an upstream announce to a VM each second."""
+        """Announce an upstream to a VM once a second."""
         for sequence in range(first, first + seconds):
             self.tasks[vm].announce('e1', announcement(sequence))
             await self.network.advance(1.0)
@@ -79,21 +79,21 @@
 
 @pytest.fixture
 async def region():
-    """Yield the started region."""
-    made = Region()
+    """Yield a region whose VMs are started."""
+    started = Region()
     for vm in VMS:
-        await made.start(vm.name)
-    await made.network.advance(1.5)
-    yield made
-    for task in made.tasks.values():
+        await started.start(vm.name)
+    await started.network.advance(1.5)
+    yield started
+    for task in started.tasks.values():
         await task.close()
 
 
-async def test_announcements_reach_every_vm_and_summaries_the_others(region):
-    """One VM hears an upstream; the region uses it, others see the sum."""
+async def test_announcements_reach_all_vms_and_summaries_other_regions(region):
+    """An upstream announces itself to only one VM of its region."""
     await region.announce('a', 4)
-    assert all(region.seen(name) == ['e1'] for name in 'abc')
-    assert not region.seen('z')
+    assert all(region.upstream_names(name) == ['e1'] for name in 'abc')
+    assert not region.upstream_names('z')
     summary = region.tasks['z'].view(0).summaries[0]
     assert (summary.region, summary.model) == ('split', 'review')
     assert (summary.free_slots, summary.slots) == (4, 4)
@@ -105,37 +105,37 @@
     assert [name for name, _ in summary.vms] == ['a', 'c']
 
 
-@pytest.mark.parametrize('fault', ['none', 'lost', 'doubled', 'frozen'])
+@pytest.mark.parametrize('fault', ['none', 'lost', 'duplicated', 'stalled'])
 async def test_leaving_takes_effect_everywhere_within_three_seconds(
     region,
     fault,
 ):
-    """An upstream leaves; the news to one VM is lost, doubled, or delayed.
+    """The departure of an upstream is lost, duplicated or delayed for one VM.
 
-    A VM that went on sending would have its callers wait for a machine that
-    was switched off.
+    If that VM kept sending requests, its callers would wait for a machine that
+    is switched off.
     """
     await region.announce('a', 3)
-    region.network.copies = 2 if fault == 'doubled' else 1
+    region.network.copies = 2 if fault == 'duplicated' else 1
     if fault == 'lost':
         region.network.partitioned.add(('a', 'c'))
-    if fault == 'frozen':
+    if fault == 'stalled':
         region.network.stalled.add(('a', 'c'))
-    # Between two batches: the news must not wait for the next.
+    # Between two batches: the departure must not wait for the next one.
     await region.network.advance(0.03)
     region.tasks['a'].announce('e1', announcement(4, leaving=True))
-    assert not region.seen('a')
+    assert not region.upstream_names('a')
     await region.network.advance(0.02)
-    assert not region.seen('b')
+    assert not region.upstream_names('b')
     await region.network.advance(2.9)
-    assert not region.seen('c')
+    assert not region.upstream_names('c')
 
 
-async def test_late_gossip_revives_nothing(region):
-    """Links keep messages for 5 s, as to a frozen VM, then deliver all.
+async def test_delayed_gossip_does_not_revive_upstreams(region):
+    """Links to a suspended VM deliver their messages 5 s late.
 
-    They tell of an upstream that has died since. The VM must not use it, not
-    even for one lease.
+    The messages announce an upstream that has failed since. The VM must not
+    use it, not even for one lease.
     """
     region.network.stalled.update({('a', 'c'), ('b', 'c')})
     await region.announce('a', 2)
@@ -143,14 +143,14 @@
     region.network.release()
     for _ in range(60):
         await region.network.advance(0.005)
-        assert not region.seen('c')
+        assert not region.upstream_names('c')
 
 
-async def test_news_of_unknown_age_is_not_used(region):
-    """A VM restarts, and a peer's first messages to it are held up.
+async def test_gossip_of_unknown_age_is_not_applied(region):
+    """A VM restarts, and a peer's first messages to it are delayed.
 
-    The peer has not heard from it yet, so they echo no reading of its clock
-    and their age is unknown; it drops them and asks.
+    The peer has received nothing from the restarted VM yet, so its messages
+    echo no clock reading and their age is unknown. The VM must not apply them.
     """
     region.network.partitioned.update({('c', 'a'), ('c', 'b')})
     await region.start('c')
@@ -161,21 +161,21 @@
     region.network.release()
     for _ in range(10):
         await region.network.advance(0.005)
-        assert not region.seen('c')
+        assert not region.upstream_names('c')
 
 
-async def test_a_restarted_vm_knows_the_upstreams_at_once(region):
-    """A VM without a disk restarts; its callers come before announcements."""
+async def test_a_restarted_vm_fetches_the_upstreams_immediately(region):
+    """A restarted VM gets requests before the next announcements."""
     await region.announce('a', 1)
     await region.start('c')
     await region.network.advance(0.1)
-    assert region.seen('c') == ['e1']
+    assert region.upstream_names('c') == ['e1']
 
 
 async def test_lost_details_are_fetched(region):
-    """The one message with an upstream's address is lost to one VM.
+    """The only message with an upstream's details is lost for one VM.
 
-    The loads that follow are of no use to it until it fetches the rest.
+    That VM cannot use the loads that follow until it fetches the details.
     """
     region.network.partitioned.add(('a', 'c'))
     region.tasks['a'].announce('e1', announcement(1))
@@ -183,11 +183,11 @@
     region.network.partitioned.clear()
     region.tasks['a'].announce('e1', announcement(2))
     await region.network.advance(0.3)
-    assert region.seen('c') == ['e1']
+    assert region.upstream_names('c') == ['e1']
 
 
-async def test_announcing_to_two_vms_and_restarting_under_one_name(region):
-    """An upstream tells two VMs, restarts, and an old message comes again."""
+async def test_announcing_to_two_vms_and_restarting_with_the_same_name(region):
+    """An upstream switches VMs and restarts; an old message is delayed."""
     region.tasks['a'].announce('e1', announcement(1, running=1))
     region.tasks['b'].announce('e1', announcement(2, running=2))
     await region.network.advance(0.3)
@@ -195,17 +195,17 @@
         assert region.tasks[name].view(0).upstreams[0].running == 2
     region.tasks['a'].announce('e1', announcement(1, incarnation=2))
     await region.network.advance(0.3)
-    late = region.tasks['c'].announce('e1', announcement(3))
-    assert isinstance(late, Err)
-    assert (late.err_value.incarnation, late.err_value.sequence) == (2, 1)
+    delayed = region.tasks['c'].announce('e1', announcement(3))
+    assert isinstance(delayed, Err)
+    assert (delayed.err_value.incarnation, delayed.err_value.sequence) == (2, 1)
     assert isinstance(region.tasks['b'].withdraw('e1', 1), Err)
     assert isinstance(region.tasks['b'].withdraw('e1', 2), Ok)
     await region.network.advance(0.1)
-    assert not any(region.seen(name) for name in 'abc')
+    assert not any(region.upstream_names(name) for name in 'abc')
 
 
-async def test_a_view_tells_of_isolation_and_is_kept_between_changes(region):
-    """Control falls silent: the view says so, and upstreams stay in it."""
+async def test_a_view_reports_isolation_and_is_cached_between_changes(region):
+    """Contact with control is lost; the view still contains upstreams."""
     await region.announce('a', 1)
     task = region.tasks['a']
     view = task.view(0)
@@ -215,8 +215,8 @@
     assert isolated.upstreams
 
 
-async def test_strangers_change_nothing(region):
-    """A VM of another region, or a removed one, sends gossip by mistake."""
+async def test_gossip_of_other_regions_is_ignored(region):
+    """A VM of another region or a removed VM sends gossip."""
     await region.announce('a', 1)
     handlers = region.network.links[VMS[2].peer].handlers
     before = region.tasks['c'].table.records.copy()
@@ -225,15 +225,15 @@
     assert region.tasks['c'].table.records == before
 
 
-async def test_one_vm_of_a_region_asks_and_another_takes_over(region):
-    """The VM that asks another region dies.
+async def test_one_vm_polls_a_region_and_another_takes_over(region):
+    """The VM that polls another region fails.
 
-    The region would soon know nothing of the others' capacity, and send no
-    request there; another of its VMs must ask in its place.
+    Another VM of its region must poll instead. Otherwise the region would lose
+    the summaries of the other region and stop forwarding requests to it.
     """
     region.tasks['z'].announce('e1', announcement(1))
 
-    def asking() -> set[str]:
+    def polling_vms() -> set[str]:
         return {
             sender
             for sender, _, kind, _ in region.network.sent
@@ -243,17 +243,17 @@
     await region.network.advance(6.0)
     region.network.sent.clear()
     await region.network.advance(10.0)
-    asker = asking()
-    assert len(asker) == 1
-    await region.tasks[next(iter(asker))].close()
+    pollers = polling_vms()
+    assert len(pollers) == 1
+    await region.tasks[next(iter(pollers))].close()
     await region.network.advance(6.0)
     region.network.sent.clear()
     await region.network.advance(10.0)
-    assert len(asking() - asker) == 1
+    assert len(polling_vms() - pollers) == 1
 
 
 async def test_gossip_over_real_sockets():
-    """Two VMs that listen on loopback share an upstream and its departure."""
+    """Two VMs on loopback share an upstream and its departure."""
     vms = tuple(
         vm_record(name, 'split', 1).__class__(
             **(vm_record(name, 'split', 1).__dict__ | {'peer': free_address()}),
@@ -281,11 +281,11 @@
                 tasks[0].announce('e1', announcement(sequence))
                 await asyncio.sleep(0.1)
             tasks[0].withdraw('e1', 1)
-            await until_gone(tasks[1], 'e1')
+            await until_departed(tasks[1], 'e1')
         assert tasks[1].table.tombstones['e1'].incarnation == 1
 
 
-async def until_gone(task: MembershipTask, name: str) -> None:
-    """Wait until an upstream's departure has reached a VM."""
-    while name not in task.table.tombstones:  # noqa: ASYNC110 (as a caller)
+async def until_departed(task: MembershipTask, name: str) -> None:
+    """Wait until a VM has recorded an upstream's departure."""
+    while name not in task.table.tombstones:  # noqa: ASYNC110 (no event)
         await asyncio.sleep(0.02)
--- a/godwitshunt/membership/transit.py
+++ b/godwitshunt/membership/transit.py
@@ -1,10 +1,11 @@
-"""How long a message was under way, without comparing clocks.
+"""Upper bounds of message transit times, without synchronised clocks.
 
 Each message carries the sender's clock and echoes the receiver's last clock
-reading with the time it was held. The receiver's own clock then gives the
-time both ways, which is never less than the time this message took. A message
-that waited in a frozen process or a full buffer is thereby known to be old;
-taken as fresh, it would give work to an upstream that is gone.
+reading with the time for which the sender held it. From these, the receiver
+derives the round-trip time on its own clock, which is an upper bound of the
+transit time of the message [1]_. It thereby detects messages that were delayed
+in a suspended process or a full buffer. Without that bound, an old message
+would direct requests to a departed upstream.
 
 References
 ----------
@@ -19,17 +20,18 @@
 
 @dataclass(frozen=True)
 class ClockReading:
-    """What one side says of clocks, in milliseconds.
+    """Clock values in one message, in milliseconds.
 
     Parameters
     ----------
     session : int
-        Drawn by the sender at its start; a restarted clock is another clock.
+        Random number that the sender draws at its start. It identifies the
+        sender's clock, which starts anew with the process.
     clock_ms : int
-        The sender's clock when it sent.
+        The sender's clock at the time of sending.
     echo_session, echo_ms, held_ms : int or None
-        The receiver's session and clock as last heard by the sender, and for
-        how long the sender has held them; None before the first message.
+        The receiver's session and clock as last received by the sender, and
+        the time since then; None before the first message.
     """
 
     session: int
@@ -40,38 +42,42 @@
 
 
 @dataclass
-class TransitClock:
-    """Clock readings to and from all peers.
+class TransitEstimator:
+    """Estimates transit times from the clock readings of all peers.
 
     Parameters
     ----------
     session : int
-        This process's own session.
+        Session of this process.
+    last_readings : dict
+        The last reading from each peer, and when it was received in seconds.
 
     Examples
     --------
-    >>> here, there = TransitClock(1), TransitClock(2)
-    >>> there.receive('here', here.reading('there', 0.0), 50.0) is None
+    >>> local, remote = TransitEstimator(1), TransitEstimator(2)
+    >>> remote.receive('local', local.make_reading('remote', 0.0), 50.0) is None
     True
-    >>> here.receive('there', there.reading('here', 50.5), 0.51)
+    >>> local.receive('remote', remote.make_reading('local', 50.5), 0.51)
     0.01
     """
 
     session: int
-    heard: dict[str, tuple[ClockReading, float]] = field(default_factory=dict)
+    last_readings: dict[str, tuple[ClockReading, float]] = field(
+        default_factory=dict
+    )
 
-    def reading(self, peer: str, now_s: float) -> ClockReading:
-        """Return the reading to send to a peer."""
+    def make_reading(self, peer: str, now_s: float) -> ClockReading:
+        """Return the clock reading for a message to a peer."""
         clock_ms = int(now_s * MILLISECONDS)
-        if peer not in self.heard:
+        if peer not in self.last_readings:
             return ClockReading(self.session, clock_ms)
-        heard, heard_s = self.heard[peer]
+        received, received_s = self.last_readings[peer]
         return ClockReading(
             session=self.session,
             clock_ms=clock_ms,
-            echo_session=heard.session,
-            echo_ms=heard.clock_ms,
-            held_ms=int((now_s - heard_s) * MILLISECONDS),
+            echo_session=received.session,
+            echo_ms=received.clock_ms,
+            held_ms=int((now_s - received_s) * MILLISECONDS),
         )
 
     def receive(
@@ -80,33 +86,33 @@
         reading: ClockReading,
         now_s: float,
     ) -> float | None:
-        """Note a peer's reading.
+        """Record a peer's clock reading and bound the transit time.
 
         Returns
         -------
         float or None
-            Upper bound of the seconds that the message was under way; None
-            where the peer has not yet heard from this process.
+            Upper bound of the transit time in seconds; None if the message
+            echoes no reading from this process.
         """
-        known = self.heard.get(peer)
-        # A message that was overtaken must not turn the clock back: echoing
-        # its reading would only make the peer's bound worse.
+        known = self.last_readings.get(peer)
+        # An older reading from a reordered message does not replace a newer
+        # one: echoing it would loosen the peer's bound.
         if known is None or not is_older(reading, known[0]):
-            self.heard[peer] = (reading, now_s)
+            self.last_readings[peer] = (reading, now_s)
         if reading.echo_session != self.session or reading.echo_ms is None:
             return None
-        both_ways_ms = now_s * MILLISECONDS - reading.echo_ms
-        under_way_ms = both_ways_ms - (reading.held_ms or 0)
-        return max(round(under_way_ms), 0) / MILLISECONDS
+        elapsed_ms = now_s * MILLISECONDS - reading.echo_ms
+        transit_ms = elapsed_ms - (reading.held_ms or 0)
+        return max(round(transit_ms), 0) / MILLISECONDS
 
-    def forget(self, peers: frozenset[str]) -> None:
-        """Keep readings of these peers only."""
-        for gone in set(self.heard) - peers:
-            self.heard.pop(gone)
+    def retain(self, peers: frozenset[str]) -> None:
+        """Discard the readings from all other peers."""
+        for peer in set(self.last_readings) - peers:
+            self.last_readings.pop(peer)
 
 
 def is_older(reading: ClockReading, known: ClockReading) -> bool:
-    """Return whether a reading of one session is older than another."""
+    """Return whether a reading is older than another of the same session."""
     if reading.session != known.session:
         return False
     return reading.clock_ms < known.clock_ms
--- a/godwitshunt/membership/views.py
+++ b/godwitshunt/membership/views.py
@@ -1,4 +1,4 @@
-"""What a routing decision sees of upstreams and of other regions."""
+"""Views of upstreams and other regions that routing decisions use."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class UpstreamRole(StrEnum):
-    """Which part of the work a model engine does."""
+    """Phases of inference that a model engine runs."""
 
     mixed = 'mixed'
     prefill = 'prefill'
@@ -16,42 +16,46 @@
 
 @dataclass(frozen=True)
 class UpstreamView:
-    """One upstream of the own region, as last reported.
+    """One upstream of the local region, as last reported.
 
     Parameters
     ----------
     name, region, service : str
-        Who it is, where it stands and what it serves.
+        Its name, its region and the service that it serves.
     address : Address
-        Where it takes requests.
+        Address at which it accepts requests.
     incarnation : int
-        Higher after each restart of the upstream.
+        Increases with each restart of the upstream.
     models, adapters : frozenset of str
-        What is loaded; empty for plain services.
+        Loaded models and adapters; empty for plain services.
+    role : UpstreamRole
+        Phases of inference that it runs.
     slots : int
-        Requests that it runs at once.
+        Maximum number of concurrent requests.
     running, queued : int
-        Requests it reported as running and as waiting.
+        Reported numbers of running and queued requests.
     queued_tokens : int
-        Uncached prompt tokens it reported as waiting for prefill.
+        Reported uncached prompt tokens that are queued for prefill.
     prefill_tokens_per_s, decode_tokens_per_s : float
-        Its speeds; decode is per stream.
+        Its throughput; decode is per stream.
     report_age_s : float
-        Seconds since the upstream measured the load it reported.
+        Seconds since the upstream measured the reported load.
     sent_since : int
-        Requests this VM sent there after that measurement.
+        Number of requests that this VM sent to it after that measurement.
     sent_tokens_since : int
         Uncached prompt tokens of those requests.
     finished_since : int
-        Requests of this VM that were in the reported load and have ended.
+        Number of requests of this VM that the reported load includes and
+        that have ended since.
     price : float
         Cost of 1,000 generated tokens.
     cached_prefixes : frozenset of int
-        Hashes of prompt blocks it reported as cached; late and with gaps.
+        Reported hashes of cached prompt blocks; may be outdated and
+        incomplete.
     honours_resume, honours_priority, honours_fencing : bool
-        What the engine can do.
+        Whether the engine supports resumption, priorities and fencing.
     leaving : bool
-        True where it takes no new work.
+        True if it accepts no new requests.
     """
 
     name: str
@@ -89,18 +93,19 @@
     model : str or None
         None for plain services.
     free_slots, slots : int
-        Free and all slots of its upstreams.
+        Free slots and total slots of its upstreams.
     wait_s : float
-        Time to the first token that the region predicts for a new request,
-        in seconds, without the network.
+        Predicted seconds to the first token of a new request, without network
+        time.
     price : float
         Cost of 1,000 generated tokens there.
     round_trip_s : float
-        Measured round trip to the region.
+        Measured round-trip time to the region.
     age_s : float
         Seconds since the region made the summary.
     vms : tuple of (str, Address)
-        Names and HTTP addresses of its entry VMs that take forwards.
+        Names and HTTP addresses of its entry VMs that accept forwarded
+        requests.
     """
 
     region: str
@@ -117,14 +122,19 @@
 
 @dataclass(frozen=True)
 class RegionView:
-    """Everything that a VM knows when it decides.
+    """Input of a routing decision of a VM.
 
     Parameters
     ----------
     region : str
-        The VM's own region.
+        Region of the VM.
+    upstreams : tuple of UpstreamView
+        Upstreams of that region.
+    summaries : tuple of RegionSummary
+        Summaries of the other regions.
     isolated : bool
-        True where the VM has had no news of a control quorum for its lease.
+        True if the VM has had no evidence of a live control quorum for the
+        isolation lease.
     """
 
     region: str
--- a/godwitshunt/membership/wire.py
+++ b/godwitshunt/membership/wire.py
@@ -1,4 +1,4 @@
-"""Data classes of membership to and from their wire structs."""
+"""Conversion between membership data classes and wire structs."""
 
 import math
 
@@ -28,7 +28,7 @@
     incarnation: int,
     details: UpstreamDetails,
 ) -> Details:
-    """Return an upstream's details under a sender's number."""
+    """Return an upstream's details with the number that a sender assigned."""
     return Details(
         number=number,
         name=name,
@@ -52,12 +52,12 @@
 
 
 def details_from_wire(wire: Details) -> UpstreamDetails:
-    """Read an upstream's details.
+    """Return the upstream details in a wire struct.
 
     Raises
     ------
     FrameError
-        Where a field is missing or cannot be right.
+        If a field is missing or invalid.
     """
     try:
         return UpstreamDetails(
@@ -74,23 +74,23 @@
             honours_priority=bool(wire.honours & HONOURS_PRIORITY),
             honours_fencing=bool(wire.honours & HONOURS_FENCING),
         )
-    except (TypeError, ValueError, ValidationError) as bad:
-        raise FrameError(f'Details: {bad!r}') from None
+    except (TypeError, ValueError, ValidationError) as error:
+        raise FrameError(f'Details: {error!r}') from None
 
 
 def report_to_wire(report: RegionReport, now_s: float) -> Summary:
-    """Return a region's report with its age."""
+    """Return the wire struct of a region's report, with its age."""
     return Summary(
         region=report.region,
-        age_ms=whole_ms(now_s - report.made_s),
-        round_trip_ms=whole_ms(report.round_trip_s),
+        age_ms=round_up_ms(now_s - report.created_s),
+        round_trip_ms=round_up_ms(report.round_trip_s),
         capacities=[
             Capacity(
                 service_name=capacity.service,
                 model=capacity.model,
                 free_slots=capacity.free_slots,
                 slots=capacity.slots,
-                wait_ms=whole_ms(capacity.wait_s),
+                wait_ms=round_up_ms(capacity.wait_s),
                 price=capacity.price,
             )
             for capacity in report.capacities
@@ -104,17 +104,17 @@
     transit_s: float,
     now_s: float,
 ) -> RegionReport:
-    """Read a region's report.
+    """Return the region report in a wire struct.
 
     Raises
     ------
     FrameError
-        Where a field is missing.
+        If a field is missing.
     """
     try:
         return RegionReport(
             region=wire.region,
-            made_s=now_s - transit_s - wire.age_ms / MILLISECONDS,
+            created_s=now_s - transit_s - wire.age_ms / MILLISECONDS,
             round_trip_s=wire.round_trip_ms / MILLISECONDS,
             capacities=tuple(
                 RegionCapacity(
@@ -129,17 +129,17 @@
             ),
             absent=frozenset(wire.absent),
         )
-    except TypeError as bad:
-        raise FrameError(f'Summary: {bad!r}') from None
+    except TypeError as error:
+        raise FrameError(f'Summary: {error!r}') from None
 
 
 def reading_from_wire(wire: Gossip) -> ClockReading:
-    """Read a message's clock readings.
+    """Return the clock reading in a message.
 
     Raises
     ------
     FrameError
-        Where the sender's own reading is missing.
+        If the sender's own clock reading is missing.
     """
     if wire.session is None or wire.clock_ms is None:
         raise FrameError('Gossip: no clock reading')
@@ -152,6 +152,6 @@
     )
 
 
-def whole_ms(seconds: float) -> int:
-    """Return whole milliseconds, rounded up so that no age shrinks."""
+def round_up_ms(seconds: float) -> int:
+    """Return milliseconds, rounded up so that ages stay upper bounds."""
     return math.ceil(seconds * MILLISECONDS)
