--- a/godwitshunt/membership/events.py
+++ b/godwitshunt/membership/events.py
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True)
 class RequestSent:
-    """A request with so many uncached prompt tokens was sent."""
+    """A request with `tokens` uncached prompt tokens was sent."""
 
     name: str
     tokens: int
--- a/godwitshunt/membership/tests/test_task.py
+++ b/godwitshunt/membership/tests/test_task.py
@@ -90,7 +90,10 @@
 
 
 async def test_announcements_reach_all_vms_and_summaries_other_regions(region):
-    """An upstream announces itself to only one VM of its region."""
+    """An upstream announces itself to one VM.
+
+    All VMs of its region must use it; other regions only get a summary.
+    """
     await region.announce('a', 4)
     assert all(region.upstream_names(name) == ['e1'] for name in 'abc')
     assert not region.upstream_names('z')
@@ -165,7 +168,7 @@
 
 
 async def test_a_restarted_vm_fetches_the_upstreams_immediately(region):
-    """A restarted VM gets requests before the next announcements."""
+    """A VM without a disk restarts and gets requests immediately."""
     await region.announce('a', 1)
     await region.start('c')
     await region.network.advance(0.1)
