--- a/godwitshunt/picking/tests/region.py
+++ b/godwitshunt/picking/tests/region.py
@@ -1,4 +1,4 @@
-"""A region's pickers and its entry VMs; tests carry their messages."""
+"""Simulated pickers and entry VMs of a region; tests deliver the messages."""
 
 from dataclasses import dataclass
 
@@ -85,15 +85,15 @@
 
 @dataclass
 class Entry:
-    """An entry VM: whom it asks, and what it has at upstreams."""
+    """An entry VM with its picker client and its requests at upstreams."""
 
     watch: RegistryWatch
     reports: ReportBuilder
     client: PickerClient
     sent: int = 0
 
-    async def ask(self, demand: Demand = SHORT, **changes):
-        """Ask for a place."""
+    async def request_destination(self, demand: Demand = SHORT, **changes):
+        """Request a destination from the picker."""
         query = DestinationRequest(
             entry=self.reports.session,
             request='q-1',
@@ -107,7 +107,7 @@
         return await self.client.request_destination(query)
 
     def begin(self, instance: str, tokens: int = 0) -> int:
-        """Send a request to an upstream; return its number."""
+        """Record a request sent to an upstream; return its number."""
         self.sent += 1
         health = self.reports.upstreams.health_of(instance)
         health.begin(self.sent, tokens, self.client.timer.now())
@@ -115,13 +115,13 @@
         return self.sent
 
     def end(self, instance: str, number: int, tokens: int = 0) -> None:
-        """End a request."""
+        """Record the end of a request."""
         self.reports.upstreams.health_of(instance).end(number, tokens)
         self.client.schedule_report()
 
 
 class PickedRegion(Deployment):
-    """A region with control VMs that give places, and another one."""
+    """A region with pickers on its control VMs, and a second region."""
 
     def __init__(self, control: dict[int, str] | None = None) -> None:
         super().__init__(control or {1: 'a', 2: 'a', 3: 'b'})
@@ -146,17 +146,17 @@
         return picker
 
     def restart(self, number: int):
-        """Let a control VM's process start anew."""
+        """Restart the process of a control VM."""
         service = super().restart(number)
         self.pickers[number] = self.start_picker(number)
         return service
 
-    def announce(self, number: int, told: UpstreamAnnounced) -> None:
-        """Let a control VM hear of an upstream."""
-        self.controls[number].announce(told)
+    def announce(self, number: int, announcement: UpstreamAnnounced) -> None:
+        """Announce an upstream to a control VM."""
+        self.controls[number].announce(announcement)
 
     def start_entry(self, number: int, domain: str = 'a') -> Entry:
-        """Return an entry VM that asks for places."""
+        """Start an entry VM that queries the picker."""
         watch = self.entry(number, domain)
         name = f'e-{number}'
         reports = ReportBuilder(
@@ -178,12 +178,12 @@
         return Entry(watch, reports, client)
 
     async def settle(self, *entries: Entry) -> None:
-        """Let all VMs hear what is new."""
+        """Exchange tables until all VMs are up to date."""
         await self.exchange()
         await self.exchange()
         for entry in entries:
             await self.poll_controls(entry.watch)
 
     def picker_of(self, entry: Entry) -> Address | None:
-        """Return whom an entry VM asks."""
+        """Return the picker that an entry VM uses."""
         return entry.watch.picker()
--- a/godwitshunt/picking/tests/test_exact_counts.py
+++ b/godwitshunt/picking/tests/test_exact_counts.py
@@ -1,8 +1,8 @@
-"""Many entry VMs of a region ask one picker for places.
+"""Many entry VMs of a region query one picker.
 
-Choosing by themselves, on sums that are half a second old, all of them send
-to the engine that was free half a second ago. It turns most of them away, and
-their callers wait or come back while other engines stand idle.
+If they chose by themselves, on totals that are half a second old, all of them
+would send to the engine that was free half a second ago. It would refuse most
+requests while other engines are idle.
 """
 
 from collections import Counter
@@ -22,8 +22,8 @@
 ENGINES = 6
 
 
-async def started(vms: int = 2, engines: int = ENGINES, **changes):
-    """Return a region with engines, and its entry VMs."""
+async def start_region(vms: int = 2, engines: int = ENGINES, **changes):
+    """Start a region with engines, and its entry VMs."""
     region = PickedRegion()
     for number in range(engines):
         region.announce(1, engine(f'i-{number}', **changes))
@@ -32,65 +32,67 @@
     return region, entries
 
 
-def place(choice: SendHere) -> str:
-    """Return where a request goes."""
+def destination(choice: SendHere) -> str:
+    """Return the incarnation to which a request is sent."""
     return choice.upstream.announcement.incarnation
 
 
 @pytest.mark.parametrize('vms', [3, 30])
-async def test_no_engine_gets_more_than_its_share_at_once(vms):
+async def test_simultaneous_requests_are_spread_evenly(vms):
     """All entry VMs get a request in the same millisecond."""
-    _, entries = await started(vms)
-    assignment = [await entry.ask() for entry in entries]
-    assert all(one.chosen_by_picker for one in assignment)
-    sent = Counter(map(place, assignment))
+    _, entries = await start_region(vms)
+    choices = [await entry.request_destination() for entry in entries]
+    assert all(choice.chosen_by_picker for choice in choices)
+    sent = Counter(map(destination, choices))
     assert max(sent.values()) <= -(-vms // ENGINES)
 
 
-async def test_a_slot_is_free_again_as_soon_as_it_is():
-    """Every slot is taken, and one request ends at another entry VM."""
-    region, (one, other) = await started(engines=1)
-    begun = []
-    choice = await one.ask()
+async def test_a_released_slot_is_available_to_all_vms_at_once():
+    """All slots are in use, and the requests of one entry VM end."""
+    region, (first_vm, second_vm) = await start_region(engines=1)
+    sent_numbers = []
+    choice = await first_vm.request_destination()
     while isinstance(choice, SendHere):
-        begun.append(one.begin(place(choice), SHORT.prompt_tokens))
-        choice = await one.ask()
-    assert len(begun) >= SLOTS
-    assert isinstance(await other.ask(), NoPlace)
-    for sent in begun:
-        one.end('i-0', sent, SHORT.prompt_tokens)
+        sent_numbers.append(
+            first_vm.begin(destination(choice), SHORT.prompt_tokens)
+        )
+        choice = await first_vm.request_destination()
+    assert len(sent_numbers) >= SLOTS
+    assert isinstance(await second_vm.request_destination(), NoPlace)
+    for sent in sent_numbers:
+        first_vm.end('i-0', sent, SHORT.prompt_tokens)
     region.timer.advance(REPORT_DELAY_S)
-    assert place(await other.ask()) == 'i-0'
+    assert destination(await second_vm.request_destination()) == 'i-0'
 
 
-async def test_the_next_request_with_a_prompt_follows_the_first_at_once():
-    """Two entry VMs get requests that share a long prompt, a moment apart.
+async def test_requests_with_the_same_prompt_go_to_the_same_engine():
+    """Two entry VMs get requests with a long shared prompt at the same time.
 
-    The first engine is still reading. Sent to another one, the prompt would
-    be read twice, and all that runs there would wait for it.
+    The first engine is still reading it. A second engine would read the prompt
+    again and delay all of its other requests.
     """
-    _, (one, other) = await started()
-    first = await one.ask(LONG)
+    _, (first_vm, second_vm) = await start_region()
+    first = await first_vm.request_destination(LONG)
     assert not first.is_cached
-    second = await other.ask(LONG)
-    assert place(second) == place(first)
+    second = await second_vm.request_destination(LONG)
+    assert destination(second) == destination(first)
     assert second.is_cached
 
 
-async def test_what_went_to_another_region_counts_until_that_tells_of_it():
-    """The own region is full, the other one's engines were told as idle.
+async def test_handovers_count_until_their_region_reports_them():
+    """The own region is full, and the other region's engines look idle.
 
-    Its next news is a quarter of a second away. Chosen by the last, every
-    request of that time would go to the same engine there.
+    Its next report arrives a quarter of a second later. If the picker used the
+    last one alone, all requests until then would go to the same engine.
     """
-    region, (one, _) = await started(engines=0)
+    region, (first_vm, _) = await start_region(engines=0)
     for number in (7, 8):
         region.announce(3, engine(f'j-{number}', 'b'))
-    far = region.start_entry(200, 'b')
-    await region.settle(one, far)
+    remote_vm = region.start_entry(200, 'b')
+    await region.settle(first_vm, remote_vm)
     await region.exchange()
     for _ in range(6):
-        assert isinstance(await one.ask(LONG), HandOver)
+        assert isinstance(await first_vm.request_destination(LONG), HandOver)
     handovers = region.pickers[1].picker.handovers.totals
     assert sum(load.in_flight for load in handovers.values()) == 6
     assert max(load.in_flight for load in handovers.values()) < 6
--- a/godwitshunt/picking/tests/test_failing_upstreams.py
+++ b/godwitshunt/picking/tests/test_failing_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that fail a part of their requests, in one region or in all."""
+"""Upstreams that fail some of their requests, in one region or in all."""
 
 from random import Random
 from types import SimpleNamespace
@@ -12,11 +12,11 @@
     Chooser,
 )
 from godwitshunt.picking.neighbours import Neighbours
-from godwitshunt.picking.tests.test_choosing import (
+from godwitshunt.picking.tests.test_chooser import (
     ADDRESS,
     NOW_S,
     SHORT,
-    ask,
+    make_request,
     make_upstream,
 )
 from godwitshunt.picking.upstreams import Upstreams
@@ -27,7 +27,7 @@
 
 
 def make_chooser() -> Chooser:
-    """Return a chooser whose own region's only upstream is left out."""
+    """Return a chooser of a region whose only upstream is ejected."""
     upstreams = Upstreams()
     for _ in range(12):
         upstreams.record_outcome(
@@ -43,29 +43,32 @@
 
 def make_view() -> RegistryView:
     """Return one upstream in each of two regions."""
-    door = EntryRecord('t-e', 's', 'tvm', 't', ADDRESS, ADDRESS, True)
-    upstream = (make_upstream(HERE, 'kochi'), make_upstream(THERE, 'tvm'))
+    entry = EntryRecord('t-e', 's', 'tvm', 't', ADDRESS, ADDRESS, True)
+    upstreams = (make_upstream(HERE, 'kochi'), make_upstream(THERE, 'tvm'))
     return RegistryView(
-        upstreams={one.announcement.incarnation: one for one in upstream},
-        entry_points={'tvm': (door,)},
+        upstreams={
+            upstream.announcement.incarnation: upstream
+            for upstream in upstreams
+        },
+        entry_points={'tvm': (entry,)},
     )
 
 
 def choose(chooser: Chooser, **changes):
-    """Return where a short request goes."""
+    """Return the choice for a short request."""
     revision = SimpleNamespace(evacuated=frozenset())
-    return chooser.choose(ask(SHORT, **changes), make_view(), revision)
+    return chooser.choose(make_request(SHORT, **changes), make_view(), revision)
 
 
-def test_a_sound_region_is_better_than_a_failing_upstream():
-    """The only upstream here fails two requests in five; one there is well."""
+def test_a_healthy_region_is_preferred_to_a_failing_upstream():
+    """The local upstream fails two requests in five; the remote is healthy."""
     assert isinstance(choose(make_chooser()), HandOver)
 
 
-def test_a_failing_upstream_is_better_than_a_refusal():
-    """Every region's only upstream fails, and each region leaves its own out.
+def test_a_failing_upstream_is_preferred_to_a_refusal():
+    """Each region ejects its only upstream, which fails some requests.
 
-    Callers would all be refused for seconds, though three requests in five
+    All callers would be refused for seconds, although three requests in five
     would be answered.
     """
     chosen = choose(make_chooser(), excluded=frozenset(('tvm',)))
@@ -73,14 +76,14 @@
     assert chosen.upstream.announcement.incarnation == HERE
 
 
-def test_a_request_handed_over_goes_back_rather_than_to_a_failing_one():
-    """The VM that handed it over may know a sound upstream elsewhere."""
+def test_a_handed_over_request_is_not_sent_to_a_failing_upstream():
+    """It is returned, as its sender may know a healthy upstream elsewhere."""
     chosen = choose(make_chooser(), local=True)
     assert isinstance(chosen, NoPlace)
     assert not chosen.overloaded
 
 
 def test_an_upstream_that_failed_this_request_is_not_tried_again():
-    """A last resort is one for other requests."""
+    """An ejected upstream is a fallback for other requests only."""
     chosen = choose(make_chooser(), excluded=frozenset(('tvm', HERE)))
     assert isinstance(chosen, NoPlace)
--- a/godwitshunt/picking/tests/test_lost_picker.py
+++ b/godwitshunt/picking/tests/test_picker_failover.py
@@ -1,7 +1,7 @@
-"""A region's picker stands still, is cut off, or starts anew.
+"""A region's picker freezes, is partitioned, or restarts.
 
-A request must not wait for it, and nobody may be sent where there is no room
-because a new picker does not know yet what runs.
+Requests must not wait for it, and a new picker that does not know the loads
+yet must not assign requests to full upstreams.
 """
 
 from collections import Counter
@@ -23,7 +23,7 @@
 from godwitshunt.registry.tests.deployment import address
 
 
-async def started(control=None, vms: int = 2):
+async def start_region(control=None, vms: int = 2):
     """Return a region with two engines, and its entry VMs."""
     region = PickedRegion(control)
     for number in range(2):
@@ -33,38 +33,38 @@
     return region, entries
 
 
-async def test_all_entry_vms_ask_the_same_one():
-    """Two control VMs of the region would each know a part of what runs."""
-    region, entries = await started(vms=5)
+async def test_all_entry_vms_query_the_same_picker():
+    """Otherwise each of two control VMs would know only some of the loads."""
+    region, entries = await start_region(vms=5)
     assert {region.picker_of(entry) for entry in entries} == {address(1)}
 
 
-async def test_a_vm_chooses_by_itself_while_the_picker_is_silent():
-    """The picker's VM stands still, and no other one is near."""
-    region, (entry, _) = await started({1: 'a', 3: 'b'})
+async def test_a_vm_chooses_by_itself_while_the_picker_is_unresponsive():
+    """The picker's VM is frozen, and the region has no other control VM."""
+    region, (entry, _) = await start_region({1: 'a', 3: 'b'})
     region.network.frozen.add(address(1))
-    assert await entry.ask() is None
-    asked = len(entry.watch.links.calls)
-    assert await entry.ask() is None
-    assert len(entry.watch.links.calls) == asked
+    assert await entry.request_destination() is None
+    queried = len(entry.watch.links.calls)
+    assert await entry.request_destination() is None
+    assert len(entry.watch.links.calls) == queried
 
 
-async def test_the_next_picker_knows_what_the_first_one_gave():
-    """The first picker dies while every slot that it gave is taken.
+async def test_the_next_picker_knows_the_assignments_of_the_first():
+    """The first picker fails while all slots that it assigned are in use.
 
-    A new picker that took the engines for free would send all requests there
-    once more, and have them turned away.
+    A new picker that saw the engines as free would assign their slots again,
+    and the engines would refuse these requests.
     """
-    region, entries = await started()
+    region, entries = await start_region()
     for entry in entries:
         for _ in range(SLOTS):
-            choice = await entry.ask()
+            choice = await entry.request_destination()
             instance = choice.upstream.announcement.incarnation
             entry.begin(instance, SHORT.prompt_tokens)
     await region.exchange()
     region.network.frozen.add(address(1))
     for entry in entries:
-        await entry.ask()
+        await entry.request_destination()
         await region.poll(entry.watch)
         assert region.picker_of(entry) == address(2)
     picker = region.pickers[2]
@@ -77,10 +77,10 @@
     assert sum(known) == 2 * SLOTS
 
 
-async def test_a_picker_that_has_just_started_gives_nothing_yet():
-    """It hears what runs with the entry VMs' first reports only."""
-    region, (entry, _) = await started({1: 'a', 3: 'b'})
-    choice = await entry.ask()
+async def test_a_picker_that_has_just_started_does_not_assign_yet():
+    """It learns the loads from the entry VMs' first reports."""
+    region, (entry, _) = await start_region({1: 'a', 3: 'b'})
+    choice = await entry.request_destination()
     entry.begin(choice.upstream.announcement.incarnation, SHORT.prompt_tokens)
     region.restart(1)
     await region.poll(entry.watch, 1)
@@ -95,35 +95,36 @@
 
 
 async def test_a_vm_goes_back_to_the_first_picker_when_it_answers_again():
-    """For a moment each of two VMs believes in another picker."""
-    region, (one, other) = await started()
+    """For a short time, two VMs use different pickers."""
+    region, (first_vm, second_vm) = await start_region()
     region.network.split(address(1), address(100))
-    await one.ask()
-    await region.poll(one.watch)
-    pickers = [region.picker_of(entry) for entry in (one, other)]
+    await first_vm.request_destination()
+    await region.poll(first_vm.watch)
+    pickers = [region.picker_of(entry) for entry in (first_vm, second_vm)]
     assert pickers == [address(2), address(1)]
     region.network.heal()
     region.timer.advance(PROBE_PERIOD_S)
-    await region.poll(one.watch)
-    assert region.picker_of(one) == address(1)
+    await region.poll(first_vm.watch)
+    assert region.picker_of(first_vm) == address(1)
 
 
 async def test_a_picker_without_the_route_lets_the_vm_choose():
-    """The picker's configuration is older than the entry VM's."""
-    region, (entry, _) = await started()
+    """The picker's revision is older than that of the entry VM."""
+    region, (entry, _) = await start_region()
     region.revision = None
-    assert await entry.ask() is None
+    assert await entry.request_destination() is None
     region.revision = revision(2)
-    assert isinstance(await entry.ask(), SendHere)
+    assert isinstance(await entry.request_destination(), SendHere)
 
 
 @pytest.mark.parametrize('seed', range(5))
-async def test_two_pickers_together_give_a_cold_engine_what_it_bears(seed):
-    """Half of the entry VMs ask one picker and half another one.
+async def test_two_pickers_together_respect_the_cold_budget(seed):
+    """Half of the entry VMs query one picker and half another one.
 
-    An engine that has just started is slow, and more than it bears crashes it.
+    An engine that has just started is slow, and crashes if it gets more
+    requests than its budget.
     """
-    region, entries = await started(vms=6)
+    region, entries = await start_region(vms=6)
     for number in range(2):
         cold = engine(f'i-{number}', sequence=2, cold_s=30.0)
         region.announce(1, cold)
@@ -132,18 +133,20 @@
     for entry in entries[:3]:
         region.network.split(address(1), entry.watch.links.own)
     for entry in entries[:3]:
-        await entry.ask()
+        await entry.request_destination()
         await region.poll(entry.watch)
     for picker in region.pickers.values():
         picker.tick()
-    assignment = [await one.ask() for _ in range(10) for one in entries]
+    choices = [
+        await vm.request_destination() for _ in range(10) for vm in entries
+    ]
     sent_to = Counter(
         choice.upstream.announcement.incarnation
-        for choice in assignment
+        for choice in choices
         if isinstance(choice, SendHere)
     )
-    asked = {region.picker_of(one) for one in entries}
-    assert asked == {address(1), address(2)}
+    queried = {region.picker_of(vm) for vm in entries}
+    assert queried == {address(1), address(2)}
     bound = 3.6 * 1.5 + 3
     for name in ('i-0', 'i-1'):
         assert bound * PRIMARY_SHARE - 1 < sent_to[name] <= bound
