--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -335,7 +335,7 @@
         """
         if demand.shared_tokens >= MIN_SHARED_TOKENS:
             read = CachedPrefix(demand.shared_key, instance, now_s)
-            self.prefixes.note(read)
+            self.prefixes.record(read)
 
 
 def route_for(query: DestinationRequest, routes: RouteTable) -> Route | None:
