--- a/godwitshunt/picking/reports.py
+++ b/godwitshunt/picking/reports.py
@@ -100,7 +100,7 @@
             last,
         )
         load_report = report_to_wire(report, source, now_s)
-        load_report.attempts = attempts_to_wire(self.attempts)
+        load_report.shown = attempts_to_wire(self.attempts)
         self.attempts.clear()
         load_report.admitted = admitted_to_wire(self.limits.admitted)
         load_report.prefixes = prefixes_to_wire(
--- a/godwitshunt/picking/tests/test_limits_between_pickers.py
+++ b/godwitshunt/picking/tests/test_limits_between_pickers.py
@@ -102,7 +102,7 @@
     assert 0.97 * PER_S * WINDOW_S <= admitted_units <= BOUND
 
 
-@pytest.mark.parametrize('is_cut', [False, True])
+@pytest.mark.parametrize('is_partitioned', [False, True])
 async def test_both_together_stay_within_the_limit(region, is_partitioned):
     """Each region could admit the other's share besides its own."""
     if is_partitioned:
--- a/godwitshunt/picking/tests/test_partitioned_control.py
+++ b/godwitshunt/picking/tests/test_partitioned_control.py
@@ -39,10 +39,10 @@
 def partition(region) -> None:
     """Partition the other region's control VM from this region's."""
     for control in (1, 2):
-        region.network.partition(address(control), address(3))
+        region.network.split(address(control), address(3))
 
 
-@pytest.mark.parametrize('is_cut', [False, True])
+@pytest.mark.parametrize('is_partitioned', [False, True])
 async def test_requests_are_still_handed_over(is_partitioned):
     """The partition lasts longer than a received table is valid."""
     region, local_vms, remote_vm = await start_regions()
