--- a/godwitshunt/picking/attempt_reports.py
+++ b/godwitshunt/picking/attempt_reports.py
@@ -45,11 +45,11 @@
     predicted_s : float
         Seconds to the first bytes, as predicted when the request was sent.
     unread_tokens : int
-        Cost of reading the uncached part of the prompt, in tokens of a short
+        Prefill cost of the uncached part of the prompt, in tokens of a short
         prompt.
     was_held_up : bool
-        True if the engine read other prompts first or was cold, so that the
-        times say nothing about its speed.
+        True if the engine had other prompts to prefill first or was cold, so
+        that the times say nothing about its speed.
     """
 
     instance: str
--- a/godwitshunt/picking/choices.py
+++ b/godwitshunt/picking/choices.py
@@ -7,7 +7,7 @@
 from godwitshunt.routing.selection import Demand, RankedCandidate
 
 # Weight in rendezvous hashing of engines that more urgent requests may not
-# use. They have time to read prompts and delay nobody, so they own more of the
+# use. They have time for prefill and delay nobody, so they own more of the
 # shared prompt parts. Bounded because these parts must fit into their memory.
 LOW_URGENCY_AFFINITY = 1.7
 
@@ -63,12 +63,12 @@
     ranked : tuple of RankedCandidate
         The best candidates, for logs.
     unread_tokens : int
-        Cost of reading the uncached rest of the prompt, in tokens of a short
+        Prefill cost of the uncached rest of the prompt, in tokens of a short
         prompt. It delays the requests behind this one.
     is_cached : bool
         True if the upstream has the shared parts cached.
     waiting_tokens : float
-        Prompt tokens of other requests that wait to be read there.
+        Prompt tokens of other requests that wait for prefill there.
     chosen_by_picker : bool
         True if the region's picker assigned the upstream and charged the
         budgets.
--- a/godwitshunt/picking/learned_speed.py
+++ b/godwitshunt/picking/learned_speed.py
@@ -1,7 +1,7 @@
 """Speed of a service's upstreams, estimated from their answers; no I/O.
 
-Services differ: plain ones work for 5 to 200 ms, engines read 20 to 200 prompt
-tokens per millisecond. An estimate uses the requests that found no other
+Services differ: plain ones work for 5 to 200 ms, engines prefill 20 to 200
+prompt tokens per millisecond. An estimate uses the requests that found no other
 prompt waiting at their upstream.
 """
 
@@ -10,7 +10,7 @@
 from godwitshunt.routing.selection import ServiceSpeed
 
 # Initial estimates. Plain services of users work 20 to 90 ms; their engines
-# read 51 to 112 tokens per millisecond and send the first event 31 to 47 ms
+# prefill 51 to 112 tokens per millisecond and send the first event 31 to 47 ms
 # after that.
 PLAIN_FIRST_S = 0.03
 ENGINE_FIRST_S = 0.055
@@ -19,7 +19,7 @@
 # Weight of a new answer in the exponential moving average.
 EWMA_WEIGHT = 0.05
 # Prompts with fewer unread tokens than SHORT_TOKENS update the time to the
-# first event; those with at least LONG_TOKENS update the reading speed.
+# first event; those with at least LONG_TOKENS update the prefill speed.
 SHORT_TOKENS = 1000
 LONG_TOKENS = 2000
 # An engine that was busy with requests of other VMs looks slower than it is by
@@ -28,12 +28,12 @@
 # about a third of the samples are faster than the estimate. With a plain
 # moving average the median error for an engine of 200 tokens per millisecond
 # was 0.28 if one in five answers had waited (20 seeds of 60 answers).
-MAX_DECREASE = 0.08
-MAX_INCREASE = 0.05
+MAX_DECREASE_SHARE = 0.08
+MAX_INCREASE_SHARE = 0.05
 # Lower bound of the time to the first event; an estimate of zero could not
 # increase again.
 MIN_FIRST_S = 0.002
-# Plausible range of an engine's reading time per token.
+# Plausible range of an engine's prefill time per token.
 MIN_TOKEN_S = 1 / 1_000_000
 MAX_TOKEN_S = 1 / 4_000
 
@@ -46,11 +46,11 @@
     ----------
     first_s : float
         Seconds to an answer, or to the first event of a stream, excluding the
-        reading of the prompt.
+        prefill of the prompt.
     run_s : float
         Seconds that a request occupies a slot.
     token_s : float
-        Seconds that an engine needs to read a prompt token; 0 for a plain
+        Seconds that an engine needs to prefill a token; 0 for a plain
         service.
 
     Examples
@@ -91,7 +91,7 @@
         first_s : float
             Seconds to the first event.
         unread_tokens : int
-            Cost of reading the uncached part, in tokens of a short prompt.
+            Prefill cost of the uncached part, in tokens of a short prompt.
         """
         if unread_tokens < SHORT_TOKENS:
             sample_s = first_s - unread_tokens * self.token_s
@@ -117,5 +117,5 @@
     (1.05, 0.92, 0.99)
     """
     if sample_s < estimate_s:
-        return max(sample_s, estimate_s * (1 - MAX_DECREASE))
-    return min(sample_s, estimate_s * (1 + MAX_INCREASE))
+        return max(sample_s, estimate_s * (1 - MAX_DECREASE_SHARE))
+    return min(sample_s, estimate_s * (1 + MAX_INCREASE_SHARE))
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -121,7 +121,7 @@
     view : RegistryView
         Upstreams and entry VMs, with the loads of all VMs.
     revision : Revision
-        The revision in force.
+        The active revision.
     routes : RouteTable
         Routes of that revision.
     admission_share : AdmissionShare
@@ -206,9 +206,7 @@
         route = route_for(query, context.routes)
         service = service_of(context.revision, query.service)
         if route is None or service is None:
-            return Unable(
-                'the revision in force here has no such route or service'
-            )
+            return Unable('the active revision has no such route or service')
         wait_s = self.limit_wait_s(query, context.admission_share, now_s)
         if wait_s:
             return Assignment(Limited(self.chooser.jitter(wait_s)))
@@ -328,14 +326,14 @@
     def record_prompt(
         self, demand: Demand, instance: str, now_s: float
     ) -> None:
-        """Record an upstream as holder of a prompt that it will read.
+        """Record an upstream as holder of a prompt before its prefill.
 
         The next request with the same shared parts may come while they are
-        still being read. Sent to another upstream, it would read them again.
+        still in prefill. Another upstream would process them a second time.
         """
         if demand.shared_tokens >= MIN_SHARED_TOKENS:
-            read = CachedPrefix(demand.shared_key, instance, now_s)
-            self.prefixes.record(read)
+            prefix = CachedPrefix(demand.shared_key, instance, now_s)
+            self.prefixes.record(prefix)
 
 
 def route_for(query: DestinationRequest, routes: RouteTable) -> Route | None:
@@ -348,7 +346,7 @@
 
 
 def service_of(revision: Revision, name: str) -> Service | None:
-    """Return a service of the revision in force."""
+    """Return a service of the active revision."""
     for service in revision.manifest.services:
         if service.name == name:
             return service
--- a/godwitshunt/picking/service.py
+++ b/godwitshunt/picking/service.py
@@ -82,7 +82,7 @@
         self.metrics = metrics
         self.started_s = timer.now()
         self.subscription: Subscription | None = None
-        self.reported: dict[str, frozenset[str]] = {}
+        self.reported_instances: dict[str, frozenset[str]] = {}
         self.applied_revision: Revision | None = None
         self.routes = RouteTable()
         region = registry.location.region
@@ -220,7 +220,7 @@
 
     def record_waits(self, name: str, report: Report) -> None:
         """Record how long an entry VM has waited for each upstream."""
-        before = self.reported.get(name, frozenset())
+        before = self.reported_instances.get(name, frozenset())
         for instance in before - report.loads.keys():
             self.picker.upstreams.health_of(instance).record_report(
                 name, None, None
@@ -228,12 +228,14 @@
         for instance, load in report.loads.items():
             health = self.picker.upstreams.health_of(instance)
             health.record_report(name, load.oldest_s, load.last_received_s)
-        self.reported[name] = frozenset(report.loads)
+        self.reported_instances[name] = frozenset(report.loads)
 
     def remove_absent_entries(self) -> None:
         """Remove the waiting requests of entry VMs that are absent."""
-        for name in self.reported.keys() - self.registry.ledger.entries.keys():
-            for instance in self.reported.pop(name):
+        for name in (
+            self.reported_instances.keys() - self.registry.ledger.entries.keys()
+        ):
+            for instance in self.reported_instances.pop(name):
                 health = self.picker.upstreams.health_of(instance)
                 health.record_report(name, None, None)
 
--- a/godwitshunt/picking/tests/test_chooser.py
+++ b/godwitshunt/picking/tests/test_chooser.py
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize('holder', ['k-0', 'k-1', 'k-2', 'k-3'])
 def test_a_prompt_goes_to_the_engine_that_has_it_cached(holder):
-    """A request of another VM was read there, which control reports."""
+    """A control VM reports that a request of another VM was read there."""
     request = make_request(LONG, holders=frozenset((holder,)))
     chosen = choose(request, view())
     assert isinstance(chosen, SendHere)
@@ -83,7 +83,7 @@
 
 
 def test_a_prompt_goes_to_the_region_that_has_it_cached():
-    """The round trip takes 0.11 s, reading the prompt again 0.27 s."""
+    """The round trip takes 0.11 s, another prefill 0.27 s."""
     chosen = choose(make_request(LONG, holders=frozenset(('t-0',))), view())
     assert isinstance(chosen, HandOver)
     assert chosen.entry.name == 't-e'
@@ -93,7 +93,7 @@
     """Requests whose shared parts are cached take a quarter of the time.
 
     When all their tokens counted, the first request made its engine look busy
-    for a third of a second and the next one was read again by another engine.
+    for a third of a second and the next one went to another engine for a second prefill.
     """
     chosen = choose(make_request(LONG, holders=frozenset(('k-0',))), view())
     assert chosen.unread_tokens < LONG.prompt_tokens - 12000
--- a/godwitshunt/picking/tests/test_exact_counts.py
+++ b/godwitshunt/picking/tests/test_exact_counts.py
@@ -68,8 +68,8 @@
 async def test_requests_with_the_same_prompt_go_to_the_same_engine():
     """Two entry VMs get requests with a long shared prompt at the same time.
 
-    The first engine is still reading it. A second engine would read the prompt
-    again and delay all of its other requests.
+    The prefill at the first engine is not complete. A second engine would
+    repeat it and delay all of its other requests.
     """
     _, (first_vm, second_vm) = await start_region()
     first = await first_vm.request_destination(LONG)
--- a/godwitshunt/picking/tests/test_learned_speed.py
+++ b/godwitshunt/picking/tests/test_learned_speed.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize('tokens_per_s', [20_000, 51_000, 112_000, 200_000])
 @pytest.mark.parametrize('first_s', [0.02, 0.047, 0.12])
 def test_a_first_event_is_predicted_within_a_quarter(tokens_per_s, first_s):
-    """A customer's engines read four times as fast as earlier ones.
+    """The prefill of a customer's engines is four times as fast as before.
 
     If their speed were assumed, the engines would look full while they are
     half empty, and requests would be refused or handed over.
