--- a/godwitshunt/organisations/__init__.py
+++ b/godwitshunt/organisations/__init__.py
@@ -1,8 +1,8 @@
-"""Who may send requests of keyed routes, where, and how much.
+"""Organisations: their keys, home regions, urgency and limits.
 
-`keys` finds an organisation by its key, `proofs` says how long what is known
-of keys holds, `binding` joins an organisation's rules with a route's, and
-`limits` keeps an organisation's limit over all VMs.
+`keys` finds an organisation by its key, `freshness` bounds the time for which
+a VM may use its known keys, `binding` combines an organisation's rules with
+those of a route, and `limits` enforces an organisation's limit over all VMs.
 """
 
 from godwitshunt.organisations.binding import UrgencyLevels, bind_route
@@ -10,8 +10,8 @@
 from godwitshunt.organisations.keys import KeyRing, key_digest
 from godwitshunt.organisations.limits import (
     AdmissionShare,
+    AdmittedTotals,
     LimitPool,
-    Sums,
     limits_of,
 )
 from godwitshunt.organisations.shares import fixed_shares, usable_share
@@ -21,7 +21,7 @@
     'LimitPool',
     'FreshnessRule',
     'AdmissionShare',
-    'Sums',
+    'AdmittedTotals',
     'UrgencyLevels',
     'bind_route',
     'fixed_shares',
--- a/godwitshunt/organisations/binding.py
+++ b/godwitshunt/organisations/binding.py
@@ -1,28 +1,29 @@
-"""An organisation's rules for requests of a route; pure."""
+"""Rules of an organisation for requests of a route; no I/O."""
 
 from dataclasses import dataclass
 from typing import Self
 
 from godwitshunt.manifest import Manifest, Organisation, Route
 
-# Upstreams' queues tell so many levels apart.
-LEVELS = 7
+# Number of urgency levels that upstreams' queues distinguish.
+MAX_LEVELS = 7
 
 
 def bind_route(route: Route, organisation: Organisation | None) -> Route | None:
-    """Return a route as it holds for an organisation's requests.
+    """Return a route with the rules of an organisation applied.
 
-    Where both have homes, both bind.
+    If both have homes, a region must be a home of both.
 
     Parameters
     ----------
     organisation : Organisation or None
-        None for a request of nobody's.
+        None for a request without an organisation.
 
     Returns
     -------
     Route or None
-        None where no region may serve it: the homes have none in common.
+        None if the two have no home in common, so that no region may serve
+        the request.
     """
     if organisation is None:
         return route
@@ -40,15 +41,16 @@
 
 @dataclass(frozen=True)
 class UrgencyLevels:
-    """The order in which requests go first: by organisation, then by route.
+    """Urgency levels, ordered by organisation and then by route.
 
-    With the organisation's rank alone, all requests of equal organisations
-    would wait alike, short questions behind long prompts.
+    If only the organisation's rank counted, all requests of organisations with
+    equal rank would have the same level, and short requests would wait behind
+    long prompts.
 
     Parameters
     ----------
     organisations, routes : tuple of int
-        Ranks that there are, the most urgent first.
+        Ranks in use, the most urgent first.
 
     Examples
     --------
@@ -62,31 +64,34 @@
 
     @classmethod
     def from_manifest(cls, manifest: Manifest) -> Self:
-        """Make the levels of a manifest's organisations and routes."""
-        ranks = {one.rank or 0 for one in manifest.organisations}
-        of_routes = {route.rank for route in manifest.routes}
+        """Create the levels of a manifest's organisations and routes."""
+        ranks = {
+            organisation.rank or 0 for organisation in manifest.organisations
+        }
+        route_ranks = {route.rank for route in manifest.routes}
         return cls(
             tuple(sorted(ranks or {0})),
-            tuple(sorted(of_routes or {0})),
+            tuple(sorted(route_ranks or {0})),
         )
 
     def of(self, organisation: int, route: int) -> int:
-        """Return the level of a request; 0 goes first.
+        """Return the level of a request; 0 is the most urgent.
 
-        Where there are more than `LEVELS`, neighbours share one.
+        If there are more than `MAX_LEVELS`, adjacent levels are merged.
 
         Parameters
         ----------
         organisation, route : int
-            Their ranks; one that is not listed counts as the next one.
+            Ranks of the two. A rank that is not in use counts as the next
+            less urgent one.
         """
-        place = place_of(self.organisations, organisation)
-        level = place * len(self.routes) + place_of(self.routes, route)
+        index = rank_index(self.organisations, organisation)
+        level = index * len(self.routes) + rank_index(self.routes, route)
         count = len(self.organisations) * len(self.routes)
-        return level if count <= LEVELS else level * LEVELS // count
+        return level if count <= MAX_LEVELS else level * MAX_LEVELS // count
 
 
-def place_of(ranks: tuple[int, ...], rank: int) -> int:
-    """Return how many ranks go before one."""
-    before = sum(one < rank for one in ranks)
+def rank_index(ranks: tuple[int, ...], rank: int) -> int:
+    """Return the number of ranks that are more urgent than a rank."""
+    before = sum(listed < rank for listed in ranks)
     return min(before, len(ranks) - 1)
--- a/godwitshunt/organisations/freshness.py
+++ b/godwitshunt/organisations/freshness.py
@@ -1,29 +1,30 @@
-"""How long a VM may act on the keys that it knows; pure.
-
-A key that was taken away must open nothing a stated time after that was
-acknowledged, also on VMs that hear of nobody. So a VM acts on its revision
-only while it can prove that this was the newest of a quorum at a moment less
-than that time ago. The moment is bounded from below: it is when the VM asked,
-by its own clock, less what the answer told of its own age. Delay, freezes and
-a control VM that is cut off with a minority all make the proof older, never
-younger. A request that is admitted under a proof was sent before it ran out.
+"""Freshness of the keys that a VM knows; no I/O.
+
+A stated time after the revocation of a key is acknowledged, no VM may accept
+the key, not even a partitioned one. So a VM uses its revision only while it
+has a proof that, less than that time ago, this was the newest revision of a
+quorum. The time of the proof is a lower bound: the VM's clock when it sent the
+query, minus the age that the reply states. Delays, freezes and a control VM in
+a minority partition can only make a proof look older. A request that is
+admitted under a proof is sent before the proof expires.
 """
 
 from dataclasses import dataclass
 
-# Clocks of VMs and of whoever acknowledges run apart by less than this.
-MARGIN_S = 0.1
+# Upper bound of the drift between the clock of a VM and that of the process
+# that acknowledges the revocation.
+CLOCK_SKEW_S = 0.1
 
 
 @dataclass(frozen=True)
 class FreshnessRule:
-    """Whether what is known of keys still holds.
+    """Decides whether the known keys are fresh enough to be used.
 
     Parameters
     ----------
     revoke_s : float or None
-        Seconds after which a key that was taken away opens nothing; None
-        where that is owed only by VMs in touch with a quorum.
+        Seconds after which no VM accepts a revoked key; None if this is
+        guaranteed only for VMs that are connected to a quorum.
 
     Examples
     --------
@@ -39,12 +40,12 @@
     revoke_s: float | None = None
 
     def holds(self, age_s: float) -> bool:
-        """Tell whether a proof of an age is a proof.
+        """Return whether a proof of a given age is valid.
 
         Parameters
         ----------
         age_s : float
-            Seconds since the revision in force was the newest of a quorum;
-            infinite where that is not known.
+            Seconds since the active revision was the newest of a quorum;
+            infinite if that is unknown.
         """
-        return self.revoke_s is None or age_s < self.revoke_s - MARGIN_S
+        return self.revoke_s is None or age_s < self.revoke_s - CLOCK_SKEW_S
--- a/godwitshunt/organisations/keys.py
+++ b/godwitshunt/organisations/keys.py
@@ -1,4 +1,4 @@
-"""Finding the organisation that holds a key, by the key's digest; pure."""
+"""Lookup of an organisation by the digest of its key; no I/O."""
 
 import hashlib
 from collections.abc import Mapping
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True)
 class KeyRing:
-    """Organisations by the digests of their keys, and by their names.
+    """Organisations by the digests of their keys and by name.
 
     Examples
     --------
-    >>> one = Organisation(name='wards', keys_sha256=(key_digest(b'k-1'),))
-    >>> ring = KeyRing.from_organisations((one,))
+    >>> wards = Organisation(name='wards', keys_sha256=(key_digest(b'k-1'),))
+    >>> ring = KeyRing.from_organisations((wards,))
     >>> ring.find(b'k-1').name, ring.find(b'k-2')
     ('wards', None)
     """
@@ -28,31 +28,31 @@
         cls,
         organisations: tuple[Organisation, ...],
     ) -> Self:
-        """Make the ring of some organisations."""
+        """Create the key ring of some organisations."""
         return cls(
             {
-                digest: one
-                for one in organisations
-                for digest in one.keys_sha256
+                digest: organisation
+                for organisation in organisations
+                for digest in organisation.keys_sha256
             },
-            {one.name: one for one in organisations},
+            {organisation.name: organisation for organisation in organisations},
         )
 
     @classmethod
     def from_manifest(cls, manifest: Manifest) -> Self:
-        """Make the ring of a manifest's organisations."""
+        """Create the key ring of a manifest's organisations."""
         return cls.from_organisations(manifest.organisations)
 
     def find(self, key: bytes) -> Organisation | None:
-        """Return who holds a key; None for nobody.
+        """Return the organisation that has a key; None if there is none.
 
-        The digest is looked up and not the key, so the time that it takes
-        tells nothing of keys that are nearly right.
+        The digest is looked up instead of the key, so that the duration
+        reveals nothing about keys that are almost correct.
         """
         return self.by_digest.get(key_digest(key))
 
     def still_holds(self, organisation: Organisation, digest: str) -> bool:
-        """Tell whether a key is still one of an organisation's."""
+        """Return whether a key still belongs to an organisation."""
         found = self.by_digest.get(digest)
         return found is not None and found.name == organisation.name
 
--- a/godwitshunt/organisations/limits.py
+++ b/godwitshunt/organisations/limits.py
@@ -1,15 +1,16 @@
-"""An organisation's limit over all VMs, kept by the regions' pickers; pure.
+"""Limit of an organisation over all VMs, enforced by the pickers; no I/O.
 
-Each picker counts exactly what it admits, and hears a few times a second what
-the others have admitted. While it hears them, it admits by the sum: a bucket
-of the whole limit, from which others' units are taken as they are heard. Of a
-picker that it doesn't hear it presumes that it takes its fixed share, and
-leaves that: its own bucket is smaller and fills more slowly meanwhile. So
-whatever is cut from whatever, the parts that admit never add up to more than
-the limit. And since a silence is noticed late only, no picker ever admits more
-than its fixed share of what the limit allows since it has heard the others.
+Each picker counts exactly what it admits and receives the totals of the other
+pickers a few times a second. While all are reachable, it uses a token bucket
+of the whole limit and charges the others' units to it as they are reported. A
+picker that is unreachable is assumed to admit its fixed share, so the bucket
+is smaller and fills more slowly meanwhile. In any partition, the shares that
+are admitted add up to no more than the limit. Because an unreachable picker is
+detected with a delay, no picker admits more than its fixed share of what the
+limit has allowed since the others' last reports.
 
-Counts rise for ever and are told whole: a lost message costs nothing but time.
+Totals never decrease and are sent in full, so a lost message only causes a
+delay.
 
 References
 ----------
@@ -24,42 +25,42 @@
 from godwitshunt.manifest import Manifest, OrganisationLimit
 
 # Units admitted by a process since its start, by organisation.
-Sums = Mapping[str, float]
-# Pickers tell each other each 0.2 s, over 0.1 s; one that was not heard for so
-# long is taken to be out of reach.
+AdmittedTotals = Mapping[str, float]
+# A picker without a report for this long is unreachable. Pickers poll each
+# other every 0.2 s, over a network delay of 0.1 s.
 PEER_TIMEOUT_S = 0.6
-LEAST_WAIT_S = 0.05
-# Of what operators bear beyond a limit, this part may be used up knowingly.
-USED_SHARE = 0.5
-# A limit without a burst is kept in pieces of so long.
-LEAST_BURST_S = 0.25
+MIN_WAIT_S = 0.05
+# Share of the allowance beyond a limit that may be used deliberately.
+USABLE_ALLOWANCE_SHARE = 0.5
+# Minimum bucket size, in seconds of the limit's rate.
+MIN_BURST_S = 0.25
 
 
 def limits_of(manifest: Manifest) -> dict[str, OrganisationLimit]:
     """Return the limit of each organisation that has one."""
     return {
-        one.name: one.limit
-        for one in manifest.organisations
-        if one.limit is not None
+        organisation.name: organisation.limit
+        for organisation in manifest.organisations
+        if organisation.limit is not None
     }
 
 
 @dataclass(frozen=True)
 class AdmissionShare:
-    """How a process stands to the others that admit requests.
+    """Share of the limits that a process may admit.
 
     Parameters
     ----------
     part : float
-        Part of each limit that may be admitted here, 0 to 1: all but the
-        fixed shares of those that are not heard.
+        Usable share of each limit, 0 to 1: the whole limit without the fixed
+        shares of unreachable processes.
     share : float
-        Its own fixed share.
+        Fixed share of this process.
     peers_seen_s : float
-        All others that count as heard were heard since then; infinite where
-        there are none.
+        Time of the oldest last report of a reachable process; infinite if
+        there are no others.
     allowance : float
-        Units beyond a limit that operators bear in a window.
+        Units beyond a limit that operators tolerate per window.
     """
 
     part: float = 1.0
@@ -70,120 +71,148 @@
 
 @dataclass
 class LimitBucket:
-    """What is left of one organisation's limit, in its units.
+    """Token bucket of one organisation's limit.
 
     Parameters
     ----------
-    left : float
-        Below 0 where others took more than was known.
-    asof_s : float
-        Filled until then.
+    remaining : float
+        Available units; negative if other processes admitted more than was
+        known here.
+    updated_s : float
+        Time of the last refill.
     recent : deque
-        When what was admitted here, for as long as others may not know it.
+        Times and units of recent admissions here that other processes may not
+        know yet.
     part : float
-        Part of the limit that it was filled by last.
+        Usable share of the limit at the last refill.
     """
 
     limit: OrganisationLimit
-    left: float
-    asof_s: float
+    remaining: float
+    updated_s: float
     recent: deque[tuple[float, float]] = field(default_factory=deque)
     part: float = 1.0
 
     @property
     def capacity(self) -> float:
-        """What may be admitted at once.
+        """Units that may be admitted at once.
 
-        Without any burst nothing could be admitted between two moments.
+        The minimum applies to a limit without a burst, which could otherwise
+        admit nothing.
         """
-        return max(self.limit.burst, self.limit.per_s * LEAST_BURST_S)
+        return max(self.limit.burst, self.limit.per_s * MIN_BURST_S)
 
-    def fill(self, part: float, now_s: float) -> None:
-        """Add what time has brought to a part of the limit.
+    def refill(self, part: float, now_s: float) -> None:
+        """Add the units of the elapsed time for a share of the limit.
 
-        Who is not heard any more has had its share since it was heard last,
-        and not only since its silence was noticed.
+        A process that became unreachable has used its share since its last
+        report, not only since the timeout. So its units of that period are
+        subtracted.
         """
-        lost = max(0.0, self.part - part)
+        lost_part = max(0.0, self.part - part)
         self.part = part
-        self.left -= lost * self.limit.per_s * PEER_TIMEOUT_S
-        passed_s = max(0.0, now_s - self.asof_s)
-        self.asof_s = max(self.asof_s, now_s)
+        self.remaining -= lost_part * self.limit.per_s * PEER_TIMEOUT_S
+        passed_s = max(0.0, now_s - self.updated_s)
+        self.updated_s = max(self.updated_s, now_s)
         gained = self.limit.per_s * part * passed_s
-        self.left = min(self.capacity * part, self.left + gained)
+        self.remaining = min(self.capacity * part, self.remaining + gained)
 
     def wait_s(
-        self, cost: float, standing: AdmissionShare, now_s: float
+        self, cost: float, admission_share: AdmissionShare, now_s: float
     ) -> float:
         """Return the seconds until a request is within the limit.
 
-        A request that is larger than the bucket is admitted by a full one,
-        and one that counts for nothing always.
+        A full bucket admits a request that is larger than the bucket. A
+        request without cost is always admitted.
         """
         if not cost:
             return 0.0
-        missing = min(cost, self.capacity * standing.part) - self.left
-        untold = self.untold(standing, now_s)
-        if untold:
-            missing = max(missing, untold + cost - self.own(standing, now_s))
+        missing = (
+            min(cost, self.capacity * admission_share.part) - self.remaining
+        )
+        unreported = self.unreported_units(admission_share, now_s)
+        if unreported:
+            missing = max(
+                missing,
+                unreported + cost - self.entitled_units(admission_share, now_s),
+            )
         if missing <= 0:
             return 0.0
-        per_s = self.limit.per_s * standing.part
-        return max(LEAST_WAIT_S, missing / per_s) if per_s else PEER_TIMEOUT_S
+        per_s = self.limit.per_s * admission_share.part
+        return max(MIN_WAIT_S, missing / per_s) if per_s else PEER_TIMEOUT_S
 
-    def own(self, standing: AdmissionShare, now_s: float) -> float:
-        """Return this process's share of what the limit has allowed.
+    def entitled_units(
+        self, admission_share: AdmissionShare, now_s: float
+    ) -> float:
+        """Return this process's share of the units since the peers' reports.
 
-        That is since the others were heard: all of them may have admitted
-        their shares of it meanwhile. A small organisation's share may be less
-        than two of its prompts; a part of what operators bear goes to those.
+        The other processes may have admitted their shares meanwhile. A part of
+        the allowance is added because the share of a small organisation may be
+        less than two of its prompts.
         """
-        passed_s = max(0.0, now_s - standing.peers_seen_s)
+        passed_s = max(0.0, now_s - admission_share.peers_seen_s)
         allowed = self.capacity + self.limit.per_s * passed_s
-        return standing.share * (allowed + USED_SHARE * standing.allowance)
+        return admission_share.share * (
+            allowed + USABLE_ALLOWANCE_SHARE * admission_share.allowance
+        )
 
-    def untold(self, standing: AdmissionShare, now_s: float) -> float:
-        """Return what was admitted here since the others were heard."""
+    def unreported_units(
+        self, admission_share: AdmissionShare, now_s: float
+    ) -> float:
+        """Return the units admitted here since the peers' last reports."""
         while self.recent and self.recent[0][0] < now_s - PEER_TIMEOUT_S:
             self.recent.popleft()
         return sum(
-            units for at_s, units in self.recent if at_s > standing.peers_seen_s
+            units
+            for at_s, units in self.recent
+            if at_s > admission_share.peers_seen_s
         )
 
-    def take_heard(self, units: float, silent_s: float) -> None:
-        """Count what another picker has admitted.
+    def charge_peer_units(self, units: float, silent_s: float) -> None:
+        """Charge units that another picker has admitted.
 
-        What it admitted through a silence was refilled meanwhile, which a
-        full bucket here did not show; so the silence leaves no debt.
+        Units that it admitted while it was unreachable were also refilled
+        during that time, although a full bucket could not hold them. So they
+        don't make the balance negative.
+
+        Parameters
+        ----------
+        silent_s : float
+            Seconds for which the picker was unreachable.
         """
-        least = min(self.left, 0.0)
-        self.left -= units
+        floor = min(self.remaining, 0.0)
+        self.remaining -= units
         if silent_s > 0:
-            self.left = max(self.left, least)
+            self.remaining = max(self.remaining, floor)
 
 
 @dataclass
-class HeardSums:
-    """What another process has told of its counts.
+class PeerTotals:
+    """Totals that another process has reported.
 
     Parameters
     ----------
     asof_s : float
-        They are as of then.
+        Time as of which they were reported.
     """
 
-    sums: Sums
+    totals: AdmittedTotals
     asof_s: float
 
 
 @dataclass
 class LimitPool:
-    """One process's counts of what organisations were admitted.
+    """Limits of all organisations as one process enforces them.
 
     Parameters
     ----------
     admitted : dict
-        Admitted by this process since its start; what others are told.
+        Units admitted by this process since its start, by organisation; these
+        totals are sent to the other processes.
+    buckets : dict
+        Token bucket of each organisation with a limit.
+    peer_totals : dict
+        Last totals of each other process.
 
     Examples
     --------
@@ -199,7 +228,7 @@
 
     admitted: dict[str, float] = field(default_factory=dict)
     buckets: dict[str, LimitBucket] = field(default_factory=dict)
-    heard: dict[str, HeardSums] = field(default_factory=dict)
+    peer_totals: dict[str, PeerTotals] = field(default_factory=dict)
 
     def configure(
         self,
@@ -208,14 +237,14 @@
         *,
         starts: bool,
     ) -> None:
-        """Take the limits of a newer revision.
+        """Apply the limits of a newer revision.
 
         Parameters
         ----------
         starts : bool
-            True for the first limits of a picker. What others, or the
-            process before it, have just admitted is not known then, so the
-            buckets begin empty.
+            True for the first limits of a picker. It doesn't know then what
+            other pickers or its previous process have just admitted, so the
+            buckets are empty at first.
         """
         for name in self.buckets.keys() - limits.keys():
             self.buckets.pop(name)
@@ -223,7 +252,7 @@
             bucket = self.buckets.get(name)
             if bucket is None:
                 bucket = LimitBucket(limit, 0.0, now_s)
-                bucket.left = 0.0 if starts else bucket.capacity
+                bucket.remaining = 0.0 if starts else bucket.capacity
                 self.buckets[name] = bucket
             bucket.limit = limit
 
@@ -231,84 +260,92 @@
         self,
         name: str,
         cost: float,
-        standing: AdmissionShare,
+        admission_share: AdmissionShare,
         now_s: float,
     ) -> float:
         """Return the seconds until a request is within its limit; 0 for now."""
         bucket = self.buckets.get(name)
         if bucket is None:
             return 0.0
-        bucket.fill(standing.part, now_s)
-        return bucket.wait_s(cost, standing, now_s)
+        bucket.refill(admission_share.part, now_s)
+        return bucket.wait_s(cost, admission_share, now_s)
 
     def charge(self, name: str, cost: float, now_s: float) -> None:
-        """Count a request that is admitted here."""
+        """Charge a request that is admitted here."""
         bucket = self.buckets.get(name)
         if bucket is not None:
-            bucket.left -= cost
+            bucket.remaining -= cost
             bucket.recent.append((now_s, cost))
             self.admitted[name] = self.admitted.get(name, 0.0) + cost
 
     def apply_peer_totals(
         self,
         source: str,
-        sums: Sums,
+        totals: AdmittedTotals,
         asof_s: float,
         share: float = 0.0,
     ) -> None:
-        """Take what another picker has admitted since it was heard last.
+        """Charge the units that another picker admitted since its last report.
 
-        What it admitted before it was first heard was admitted before this
-        process began, or before the other one gave its first place.
+        Units before its first report are not charged: they were admitted
+        before this process started, or there are none because the other
+        picker had not assigned any request.
 
         Parameters
         ----------
+        source : str
+            The other picker's process.
         share : float
-            Its fixed share, which was left to it while it was not heard.
+            Fixed share of that picker, which was reserved for it while it was
+            unreachable.
         """
-        known = self.heard.get(source)
-        if known is not None and asof_s <= known.asof_s:
+        previous = self.peer_totals.get(source)
+        if previous is not None and asof_s <= previous.asof_s:
             return
-        self.heard[source] = HeardSums(sums, asof_s)
-        if known is None:
+        self.peer_totals[source] = PeerTotals(totals, asof_s)
+        if previous is None:
             return
-        silent_s = max(0.0, asof_s - known.asof_s - PEER_TIMEOUT_S)
-        for name, units in gained(known.sums, sums):
+        silent_s = max(0.0, asof_s - previous.asof_s - PEER_TIMEOUT_S)
+        for name, units in increases(previous.totals, totals):
             bucket = self.buckets.get(name)
             if bucket is not None:
-                # Time that has passed fills a bucket once, not once more
-                # after what was taken at its end.
-                bucket.fill(bucket.part, asof_s)
-                left_to_it = bucket.limit.per_s * share * silent_s
-                bucket.take_heard(max(0.0, units - left_to_it), silent_s)
-
-    def apply_vm_totals(self, session: str, sums: Sums, now_s: float) -> None:
-        """Take what an entry VM admitted by itself, without a picker.
+                # Refill first: charging before the refill would let the
+                # elapsed time refill units that a full bucket can't hold.
+                bucket.refill(bucket.part, asof_s)
+                granted = bucket.limit.per_s * share * silent_s
+                bucket.charge_peer_units(max(0.0, units - granted), silent_s)
+
+    def apply_vm_totals(
+        self, session: str, totals: AdmittedTotals, now_s: float
+    ) -> None:
+        """Charge the units that an entry VM admitted without a picker.
 
-        It counts as admitted here, so that the other pickers hear of it.
+        They count as admitted here, so that the other pickers learn of them.
         """
-        known = self.heard.get(session)
-        self.heard[session] = HeardSums(sums, now_s)
-        if known is not None:
-            for name, units in gained(known.sums, sums):
+        previous = self.peer_totals.get(session)
+        self.peer_totals[session] = PeerTotals(totals, now_s)
+        if previous is not None:
+            for name, units in increases(previous.totals, totals):
                 self.charge(name, units, now_s)
 
     def expire(self, before_s: float) -> None:
-        """Drop processes that were heard last before a time."""
-        for source, known in tuple(self.heard.items()):
-            if known.asof_s < before_s:
-                self.heard.pop(source)
+        """Remove processes whose last report is older than a time."""
+        for source, last in tuple(self.peer_totals.items()):
+            if last.asof_s < before_s:
+                self.peer_totals.pop(source)
 
 
-def gained(before: Sums, after: Sums) -> list[tuple[str, float]]:
-    """Return by how much counts have risen, where they have.
+def increases(
+    before: AdmittedTotals, after: AdmittedTotals
+) -> list[tuple[str, float]]:
+    """Return the names and differences of totals that have increased.
 
     Examples
     --------
-    >>> gained({'one': 2.0, 'two': 1.0}, {'one': 5.0, 'two': 1.0})
+    >>> increases({'one': 2.0, 'two': 1.0}, {'one': 5.0, 'two': 1.0})
     [('one', 3.0)]
     """
-    risen = [
+    differences = [
         (name, total - before.get(name, 0.0)) for name, total in after.items()
     ]
-    return [(name, units) for name, units in risen if units > 0]
+    return [(name, units) for name, units in differences if units > 0]
--- a/godwitshunt/organisations/shares.py
+++ b/godwitshunt/organisations/shares.py
@@ -1,10 +1,10 @@
-"""Parts of limits, for pickers that don't all hear each other; pure."""
+"""Shares of limits for pickers that cannot all reach each other; no I/O."""
 
 from collections.abc import Collection, Mapping
 
-# Of a region's pickers the first by name is asked by all its entry VMs; the
-# others are asked for moments only.
-FIRST_SHARE = 0.85
+# Share of a region's limit that its first picker by name gets. All entry VMs of
+# the region query that picker; the others are queried during fail-over only.
+PRIMARY_SHARE = 0.85
 
 
 def fixed_shares(
@@ -15,24 +15,24 @@
     Parameters
     ----------
     pickers : mapping
-        Names of each region's pickers; none where a region has none.
+        Names of the pickers of each region; a region may have none.
 
     Examples
     --------
     >>> shares = fixed_shares({'kochi': ('a', 'b'), 'tvm': ('c',)})
-    >>> {name: round(part, 3) for name, part in shares.items()}
+    >>> {name: round(share, 3) for name, share in shares.items()}
     {'a': 0.425, 'b': 0.075, 'c': 0.5}
     """
     shares = {}
     for names in pickers.values():
-        part = 1 / len(pickers)
+        region_share = 1 / len(pickers)
         ordered = sorted(names)
-        rest = max(1, len(ordered) - 1)
+        others = max(1, len(ordered) - 1)
         for name in ordered:
-            of_region = (1 - FIRST_SHARE) / rest
+            share_in_region = (1 - PRIMARY_SHARE) / others
             if name == ordered[0]:
-                of_region = FIRST_SHARE if len(ordered) > 1 else 1.0
-            shares[name] = part * of_region
+                share_in_region = PRIMARY_SHARE if len(ordered) > 1 else 1.0
+            shares[name] = region_share * share_in_region
     return shares
 
 
@@ -40,24 +40,24 @@
     own: str,
     pickers: Mapping[str, Collection[str]],
     known: Collection[str],
-    heard: Collection[str],
+    reachable: Collection[str],
 ) -> float:
-    """Return the part of each limit that a picker may admit by.
+    """Return the share of each limit that a picker may admit.
 
-    That is all but the fixed shares of those that it doesn't hear, and never
-    less than its own.
+    This is the whole limit without the fixed shares of unreachable pickers,
+    and at least the picker's own fixed share.
 
     Parameters
     ----------
     own : str
-        Its name.
+        Name of the picker.
     pickers : mapping
-        Names of each region's pickers, as far as known.
+        Names of the pickers of each region, as far as known.
     known : collection of str
-        All that there should be, this one among them; some may never have
-        been heard, so that nobody knows their region.
-    heard : collection of str
-        Those that were heard of late, this one among them.
+        All configured pickers including this one. The region of a picker that
+        was never reachable is unknown.
+    reachable : collection of str
+        Pickers that were reachable lately, including this one.
 
     Examples
     --------
@@ -69,8 +69,8 @@
     """
     shares = fixed_shares(pickers)
     unknown_share = 1 / max(1, len(known))
-    silent = set(known) - set(heard)
-    left = sum(shares.get(name, unknown_share) for name in silent)
+    unreachable = set(known) - set(reachable)
+    reserved = sum(shares.get(name, unknown_share) for name in unreachable)
     # Entry VMs of a region without a picker admit that region's share.
-    left += sum(1 / len(pickers) for names in pickers.values() if not names)
-    return max(shares.get(own, unknown_share), 1 - left)
+    reserved += sum(1 / len(pickers) for names in pickers.values() if not names)
+    return max(shares.get(own, unknown_share), 1 - reserved)
--- a/godwitshunt/organisations/tests/test_keys.py
+++ b/godwitshunt/organisations/tests/test_keys.py
@@ -23,7 +23,7 @@
     bind_route,
     key_digest,
 )
-from godwitshunt.organisations.binding import LEVELS
+from godwitshunt.organisations.binding import MAX_LEVELS
 
 REGIONS = ('kochi', 'tvm', 'kozhikode')
 ROUTE = Route(
@@ -153,7 +153,7 @@
     levels = UrgencyLevels(ranks, ranks)
     found = [levels.of(one, other) for one in ranks for other in ranks]
     assert found == sorted(found)
-    assert set(found) == set(range(LEVELS))
+    assert set(found) == set(range(MAX_LEVELS))
 
 
 @pytest.mark.parametrize(
--- a/godwitshunt/organisations/tests/test_limits.py
+++ b/godwitshunt/organisations/tests/test_limits.py
@@ -332,8 +332,8 @@
         assert not pool.wait_s(NAME, 30.0, told, 1.0)
         pool.charge(NAME, 30.0, 1.0)
     assert pool.wait_s(NAME, 30.0, told, 1.0) > 0
-    untold = AdmissionShare(share=0.3, peers_seen_s=0.9)
-    assert pool.wait_s(NAME, 30.0, untold, 1.0) > 0
+    unreported_units = AdmissionShare(share=0.3, peers_seen_s=0.9)
+    assert pool.wait_s(NAME, 30.0, unreported_units, 1.0) > 0
 
 
 def test_larger_request_than_the_burst_is_admitted_by_a_full_bucket():
--- a/godwitshunt/picking/tests/test_chooser.py
+++ b/godwitshunt/picking/tests/test_chooser.py
@@ -93,7 +93,7 @@
     """Requests whose shared parts are cached take a quarter of the time.
 
     When all their tokens counted, the first request made its engine look busy
-    for a third of a second and the next one went to another engine for a second prefill.
+    for a third of a second, and another engine processed the prompt again.
     """
     chosen = choose(make_request(LONG, holders=frozenset(('k-0',))), view())
     assert chosen.unread_tokens < LONG.prompt_tokens - 12000
