--- a/godwitshunt/organisations/limits.py
+++ b/godwitshunt/organisations/limits.py
@@ -288,8 +288,8 @@
         """Charge the units that another picker admitted since its last report.
 
         Units before its first report are not charged: they were admitted
-        before this process started, or there are none because the other
-        picker had not assigned any request.
+        before this process started, or the other picker had not assigned any
+        request yet.
 
         Parameters
         ----------
--- a/godwitshunt/organisations/tests/__init__.py
+++ b/godwitshunt/organisations/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of keys, proofs and limits of organisations."""
+"""Tests of keys, freshness and limits of organisations."""
--- a/godwitshunt/organisations/tests/test_keys.py
+++ b/godwitshunt/organisations/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys: who holds them, where their requests go, how long that is known."""
+"""Keys of organisations, their routes and urgency, and key freshness."""
 
 import pytest
 from pydantic import ValidationError
@@ -39,7 +39,7 @@
 
 
 def organisation(name: str, *keys: bytes, **changes) -> Organisation:
-    """Return an organisation that holds keys."""
+    """Return an organisation with keys."""
     digests = tuple(key_digest(key) for key in keys)
     return Organisation(name=name, keys_sha256=digests, **changes)
 
@@ -58,15 +58,17 @@
 
 
 def test_two_organisations_must_not_share_a_key():
-    """Whose requests these are could not be told; the key stays untold."""
-    shared = organisation('one', b'k-1'), organisation('two', b'k-1')
-    with pytest.raises(ValidationError, match='one and two share a key') as bad:
-        manifest(*shared)
-    assert key_digest(b'k-1') not in bad.value.errors()[0]['msg']
+    """Requests with the key would be ambiguous; the error omits the key."""
+    both = organisation('one', b'k-1'), organisation('two', b'k-1')
+    with pytest.raises(
+        ValidationError, match='one and two share a key'
+    ) as raised:
+        manifest(*both)
+    assert key_digest(b'k-1') not in raised.value.errors()[0]['msg']
 
 
 @pytest.mark.parametrize(
-    ('fields', 'told'),
+    ('fields', 'invalid_field'),
     [
         ({'name': ''}, 'name'),
         ({'name': 'with blank'}, 'name'),
@@ -79,11 +81,13 @@
         ({'limit': {'per_s': 1.0, 'unit': 'words'}}, 'unit'),
     ],
 )
-def test_fault_of_an_organisation_is_refused_by_its_field(fields, told):
-    """An operator mistypes a field; the one before must stay in force."""
-    with pytest.raises(ValidationError) as bad:
+def test_invalid_organisation_is_refused_with_its_field(fields, invalid_field):
+    """An operator mistypes a field; the previous manifest stays active."""
+    with pytest.raises(ValidationError) as raised:
         Organisation(**{'name': 'wards', **fields})
-    assert told in {str(part) for part in bad.value.errors()[0]['loc']}
+    assert invalid_field in {
+        str(part) for part in raised.value.errors()[0]['loc']
+    }
 
 
 @pytest.mark.parametrize(
@@ -93,27 +97,30 @@
         (organisation('one', homes=('nowhere',)),),
     ],
 )
-def test_names_stand_once_and_homes_are_regions(organisations):
-    """Two of one name, or a home that is no region, leave rules unclear."""
+def test_duplicate_names_and_unknown_homes_are_refused(organisations):
+    """With either of them the rules of an organisation are ambiguous."""
     with pytest.raises(ValidationError, match='organisations'):
         manifest(*organisations)
 
 
-def test_a_key_is_found_only_while_it_is_held():
-    """A key is taken away, and given to another organisation."""
-    one, two = organisation('one', b'k-1', b'k-2'), organisation('two', b'k-3')
-    before = KeyRing.from_organisations((one, two))
+def test_a_key_is_found_for_its_current_organisation_only():
+    """A key is removed from one organisation and added to another."""
+    first, second = (
+        organisation('one', b'k-1', b'k-2'),
+        organisation('two', b'k-3'),
+    )
+    before = KeyRing.from_organisations((first, second))
     moved = organisation('two', b'k-3', b'k-1')
     after = KeyRing.from_organisations((organisation('one', b'k-2'), moved))
-    assert before.find(b'k-1') == one
+    assert before.find(b'k-1') == first
     assert after.find(b'k-1') == moved
-    assert before.still_holds(one, key_digest(b'k-1'))
-    assert not after.still_holds(one, key_digest(b'k-1'))
+    assert before.still_holds(first, key_digest(b'k-1'))
+    assert not after.still_holds(first, key_digest(b'k-1'))
     assert after.find(b'') is None
 
 
 @pytest.mark.parametrize(
-    ('of_route', 'of_organisation', 'both'),
+    ('route_homes', 'organisation_homes', 'common_homes'),
     [
         ((), (), ()),
         (('kochi', 'tvm'), (), ('kochi', 'tvm')),
@@ -122,46 +129,48 @@
         (('kochi',), ('tvm',), None),
     ],
 )
-def test_homes_of_route_and_organisation_both_bind(
-    of_route,
-    of_organisation,
-    both,
+def test_homes_of_route_and_organisation_are_intersected(
+    route_homes,
+    organisation_homes,
+    common_homes,
 ):
-    """What either forbids is forbidden; no common home is no place at all."""
-    route = ROUTE.model_copy(update={'homes': of_route})
-    bound = bind_route(route, organisation('wards', homes=of_organisation))
-    assert (bound and bound.homes) == both
+    """A region must be permitted by both; none may be left."""
+    route = ROUTE.model_copy(update={'homes': route_homes})
+    bound = bind_route(route, organisation('wards', homes=organisation_homes))
+    assert (bound and bound.homes) == common_homes
 
 
 @pytest.mark.parametrize(
     ('ranks', 'level'),
     [((1, 0), 0), ((1, 1), 1), ((2, 0), 2), ((2, 1), 3), ((0, 0), 0)],
 )
-def test_organisation_goes_before_route_and_route_before_equals(ranks, level):
-    """All organisations of a deployment are of one rank.
+def test_urgency_is_by_organisation_and_then_by_route(ranks, level):
+    """All organisations of a deployment may have the same rank.
 
-    With theirs in place of the routes', short questions waited behind long
-    prompts: twenty times as many were refused on a heavy day.
+    When it replaced the rank of the route, short requests waited behind long
+    prompts, and twenty times as many were refused on a heavy day.
     """
     levels = UrgencyLevels(organisations=(1, 2), routes=(0, 1))
     assert levels.of(*ranks) == level
 
 
-def test_more_levels_than_queues_tell_apart_keep_their_order():
-    """Neighbours share a level; none passes one that goes before it."""
+def test_merged_levels_keep_their_order():
+    """With more levels than queues distinguish, adjacent ones are merged."""
     ranks = tuple(range(5))
     levels = UrgencyLevels(ranks, ranks)
-    found = [levels.of(one, other) for one in ranks for other in ranks]
-    assert found == sorted(found)
-    assert set(found) == set(range(MAX_LEVELS))
+    levels_found = [
+        levels.of(first, second) for first in ranks for second in ranks
+    ]
+    assert levels_found == sorted(levels_found)
+    assert set(levels_found) == set(range(MAX_LEVELS))
 
 
 @pytest.mark.parametrize(
     ('age_s', 'holds'),
     [(0.0, True), (4.8, True), (4.95, False), (float('inf'), False)],
 )
-def test_a_proof_holds_for_less_than_the_revocation_allows(age_s, holds):
-    """A VM is cut off, and its callers' keys are taken away meanwhile."""
+def test_a_proof_expires_before_the_revocation_time(age_s, holds):
+    """A VM is partitioned while the keys of its callers are revoked."""
     assert FreshnessRule(5.0).holds(age_s) is holds
     assert FreshnessRule(None).holds(age_s)
 
@@ -174,7 +183,7 @@
         (LimitUnit.requests, 1540, 1),
     ],
 )
-def test_a_request_counts_in_its_limits_unit(unit, tokens, cost):
-    """Plain calls tell no tokens and would else be free."""
+def test_a_request_is_charged_in_the_unit_of_its_limit(unit, tokens, cost):
+    """Plain calls declare no tokens and would be free without a default."""
     limit = OrganisationLimit(per_s=9.0, unit=unit, untold_tokens=200)
     assert limit.cost(tokens) == cost
