--- a/godwitshunt/picking/chooser.py
+++ b/godwitshunt/picking/chooser.py
@@ -234,7 +234,7 @@
             elif instance in request.excluded:
                 reason = 'failed this request'
             elif instance in ejected:
-                reason = 'ejected'
+                reason = 'fails'
             elif reason is None:
                 candidate = self.make_candidate(upstream, request, view)
                 reason = f'full: {candidate.in_flight} of {candidate.slots}'
--- a/godwitshunt/picking/filters.py
+++ b/godwitshunt/picking/filters.py
@@ -75,12 +75,12 @@
         if upstream.announcement.failure_domain in revision.evacuated:
             return 'evacuated'
         if upstream.announcement.draining or ends_soon(upstream, now_s):
-            return 'terminating'
+            return 'leaves'
         if upstream.region != self.region:
             return 'cold' if upstream.cold_until_s > now_s else None
         health = self.upstreams.health_of(upstream.announcement.incarnation)
         if now_s < health.down_until_s:
-            return 'connection failed'
+            return 'unreached'
         if now_s < health.full_until_s:
             return 'refused a request as full'
         if self.may_be_cold(upstream, request) and not self.has_cold_capacity(
