--- a/godwitshunt/picking/chooser.py
+++ b/godwitshunt/picking/chooser.py
@@ -94,10 +94,10 @@
         revision: Revision,
     ) -> Choice:
         """Return the destination of a request, or its refusal."""
-        found = tuple(self.candidates(request, view, revision))
-        if not found and not request.local:
-            found = tuple(self.fallbacks(request, view, revision))
-        if not found:
+        candidates = tuple(self.candidates(request, view, revision))
+        if not candidates and not request.local:
+            candidates = tuple(self.fallbacks(request, view, revision))
+        if not candidates:
             wait_s = self.jitter(self.opens_in_s(request, view))
             return NoPlace(
                 overloaded=False,
@@ -105,7 +105,7 @@
                 exclusions=self.exclusions(request, view, revision),
             )
         speed = self.upstreams.speed(request.service)
-        ranked = rank(found, request.demand, speed)
+        ranked = rank(candidates, request.demand, speed)
         best = min(ranked, key=lambda candidate: candidate.predicted_s)
         limit_s = min(
             request.remaining_s,
@@ -181,7 +181,7 @@
         view: RegistryView,
         revision: Revision,
     ) -> Iterator[Candidate]:
-        """Yield ejected upstreams of this region if no other one is left.
+        """Yield ejected upstreams of this region if no other is left.
 
         If the VMs of every region eject their upstream, all requests would be
         refused although most would be answered. On a day on which all three
@@ -222,7 +222,7 @@
         view: RegistryView,
         revision: Revision,
     ) -> tuple[str, ...]:
-        """Return for logs reason each upstream is excluded."""
+        """Return for logs why each upstream is excluded."""
         reachable = self.reachable_regions(request, view)
         ejected = self.upstreams.ejected(request.service.name, request.now_s)
         reasons = []
--- a/godwitshunt/picking/limits.py
+++ b/godwitshunt/picking/limits.py
@@ -49,13 +49,13 @@
         """Return the known control VMs of each region."""
         regions = set(self.tables.location.regions.values())
         regions.add(self.tables.location.region)
-        found = {
+        by_region = {
             region: self.tables.controls_in_region(region) for region in regions
         }
-        here = found[self.tables.location.region]
-        if self.tables.own_name not in here:
-            here.append(self.tables.own_name)
-        return found
+        local = by_region[self.tables.location.region]
+        if self.tables.own_name not in local:
+            local.append(self.tables.own_name)
+        return by_region
 
     def admission_share(self, now_s: float) -> AdmissionShare:
         """Return the share of the limits that may be admitted here now.
--- a/godwitshunt/picking/picker.py
+++ b/godwitshunt/picking/picker.py
@@ -4,8 +4,8 @@
 half a second old. With 195 entry VMs, some engines refused a third of their
 requests while others were idle. A single process of the region that assigns
 all requests knows to the millisecond what it has assigned and what has ended.
-An assignment is not a reservation: the upstream may still refuse the request,
-and an entry VM whose picker does not answer chooses by itself.
+An assignment is no guarantee: the upstream may still refuse the request. An
+entry VM whose picker does not answer chooses by itself.
 
 No I/O: each call gets the time and the known state.
 """
@@ -39,7 +39,7 @@
 # Share of the budget for cold upstreams that the region's first picker by name
 # gets. The region's other pickers divide the rest, because during a fail-over
 # some entry VMs query one picker and some another.
-PRIMARY_SHARE = 0.7
+PRIMARY_COLD_SHARE = 0.7
 NO_PEERS = AdmissionShare()
 
 
@@ -169,7 +169,7 @@
     handovers: HandoverLoads
     random: Random
     limits: LimitPool
-    cold_share: float = PRIMARY_SHARE
+    cold_share: float = PRIMARY_COLD_SHARE
 
     def __post_init__(self) -> None:
         self.chooser = Chooser(
@@ -193,8 +193,8 @@
         """
         is_first = own == min(pickers, default=own)
         others = max(1, len(pickers) - 1)
-        rest = (1 - PRIMARY_SHARE) / others
-        self.cold_share = PRIMARY_SHARE if is_first else rest
+        rest = (1 - PRIMARY_COLD_SHARE) / others
+        self.cold_share = PRIMARY_COLD_SHARE if is_first else rest
 
     def assign(
         self,
--- a/godwitshunt/picking/reports.py
+++ b/godwitshunt/picking/reports.py
@@ -21,7 +21,7 @@
 
 # Maximum number of attempts that are stored until the next report. Older ones
 # are of no use to a picker that could not be reached for some time.
-MAX_ATTEMPTS = 64
+MAX_STORED_ATTEMPTS = 64
 
 
 @dataclass
@@ -62,7 +62,7 @@
     suspects: SuspectTable = field(default_factory=SuspectTable)
     number: int = 0
     attempts: deque[AttemptReport] = field(
-        default_factory=lambda: deque(maxlen=MAX_ATTEMPTS),
+        default_factory=lambda: deque(maxlen=MAX_STORED_ATTEMPTS),
     )
     assigned_by: str = ''
     last_assignment: int = 0
--- a/godwitshunt/picking/tests/test_picker_failover.py
+++ b/godwitshunt/picking/tests/test_picker_failover.py
@@ -9,7 +9,7 @@
 import pytest
 
 from godwitshunt.picking.choices import SendHere
-from godwitshunt.picking.picker import PRIMARY_SHARE
+from godwitshunt.picking.picker import PRIMARY_COLD_SHARE
 from godwitshunt.picking.service import WARM_UP_S
 from godwitshunt.picking.tests.region import (
     SHORT,
@@ -149,4 +149,4 @@
     assert queried == {address(1), address(2)}
     bound = 3.6 * 1.5 + 3
     for name in ('i-0', 'i-1'):
-        assert bound * PRIMARY_SHARE - 1 < sent_to[name] <= bound
+        assert bound * PRIMARY_COLD_SHARE - 1 < sent_to[name] <= bound
