--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -39,7 +39,7 @@
     UpstreamAnnouncement,
     UpstreamTable,
 )
-from godwitshunt.membership.events import Announced, Sent
+from godwitshunt.membership.events import Announced, RequestSent
 from godwitshunt.peer import MessageKind, PeerLinks, PeerOptions
 from godwitshunt.settings import Address, EntrySettings
 from godwitshunt.telemetry import Metrics
@@ -455,7 +455,7 @@
     began_s = time.process_time()
     for number in range(VIEWS):
         now_s += 1 / DECISIONS_PER_S
-        table.apply(Sent(f'engine-{number % upstreams:04d}', 100), now_s)
+        table.apply(RequestSent(f'engine-{number % upstreams:04d}', 100), now_s)
         table.views(now_s)
     cpu_s = time.process_time() - began_s
     return {
--- a/godwitshunt/claims/ballots.py
+++ b/godwitshunt/claims/ballots.py
@@ -39,7 +39,7 @@
 )
 from godwitshunt.claims.wire import holder_answer_from_wire, request_to_wire
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics
@@ -82,7 +82,7 @@
     addresses: dict[str, Address] = field(default_factory=dict)
     epochs: dict[tuple[str, int], int] = field(default_factory=dict)
     heard_s: dict[tuple[str, int], float] = field(default_factory=dict)
-    jobs: Jobs = field(default_factory=Jobs)
+    background_tasks: BackgroundTasks = field(default_factory=BackgroundTasks)
     draw_number: Callable[[], int] = draw_attempt_number
 
     def learn(self, generation: tuple[str, int], epoch: int) -> None:
@@ -304,7 +304,7 @@
     ) -> ClaimStep:
         """Ask the holders that have not granted, until the step is known."""
         asked = {
-            self.links.jobs.run(
+            self.links.background_tasks.run(
                 self.links.ask(holder, request, self.ask_timeout_s()),
             ): holder
             for holder in self.holders
--- a/godwitshunt/claims/holder_peers.py
+++ b/godwitshunt/claims/holder_peers.py
@@ -18,7 +18,7 @@
 from godwitshunt.claims.wire import standing_from_wire, standing_to_wire
 from godwitshunt.configuration.revision import HolderSet
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics, log_change
@@ -54,7 +54,7 @@
         self.timer = timer
         self.metrics = metrics
         self.addresses: dict[str, Address] = {}
-        self.jobs = Jobs()
+        self.background_tasks = BackgroundTasks()
         self.recoveries: set[GenerationId] = set()
 
     def start(self) -> None:
@@ -64,7 +64,7 @@
 
     async def close(self) -> None:
         """End the questions under way."""
-        await self.jobs.close()
+        await self.background_tasks.close()
 
     async def answer(self, sender: str, body: bytes) -> bytes | None:
         """Answer a VM that asks for the epoch, or a holder that recovers."""
@@ -92,7 +92,9 @@
         for generation in newest.items():
             holder = self.table.holders[generation]
             for peer in self.fellows(self.table.sets[generation]):
-                self.jobs.run(self.ask_epoch(generation, holder, peer))
+                self.background_tasks.run(
+                    self.ask_epoch(generation, holder, peer)
+                )
 
     async def ask_epoch(
         self,
@@ -126,7 +128,7 @@
         for generation in waiting:
             if generation not in self.recoveries:
                 self.recoveries.add(generation)
-                self.jobs.run(self.recover(generation))
+                self.background_tasks.run(self.recover(generation))
 
     async def recover(self, generation: GenerationId) -> None:
         """Try once to recover one generation; the next tick tries again."""
--- a/godwitshunt/claims/stamps.py
+++ b/godwitshunt/claims/stamps.py
@@ -10,7 +10,7 @@
 from godwitshunt.claims.wire import standing_from_wire
 from godwitshunt.configuration.revision import HolderSet
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, decode
 from godwitshunt.settings import NodeSettings
 from godwitshunt.timer import Subscription
@@ -39,7 +39,7 @@
         self.settings = settings
         self.links = links
         self.sets: tuple[HolderSet, ...] = ()
-        self.jobs = Jobs()
+        self.background_tasks = BackgroundTasks()
         self.subscriptions: list[Subscription] = []
 
     def start(self) -> None:
@@ -51,7 +51,7 @@
         """Ask no more."""
         for subscription in self.subscriptions:
             subscription.cancel()
-        await self.jobs.close()
+        await self.background_tasks.close()
 
     def apply_sets(self, sets: Iterable[HolderSet]) -> None:
         """Follow the committed holder sets."""
@@ -90,7 +90,7 @@
             generation = (one.region, one.generation)
             if self.heard_age_s(generation) < EPOCH_POLL_S:
                 return
-            self.jobs.run(self.hear_epoch(one))
+            self.background_tasks.run(self.hear_epoch(one))
 
     async def hear_epoch(self, holder_set: HolderSet) -> None:
         """Ask every holder for its epoch; a majority makes it known."""
--- a/godwitshunt/claims/task.py
+++ b/godwitshunt/claims/task.py
@@ -23,7 +23,7 @@
 from godwitshunt.claims.verdicts import Attempt, Finish, Release, Verdict
 from godwitshunt.configuration.revision import HolderSet, Revision
 from godwitshunt.exceptions import FrameError
-from godwitshunt.membership.jobs import Jobs
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.peer import MessageKind, PeerLinks, decode, encode
 from godwitshunt.settings import NodeSettings
 from godwitshunt.telemetry import Metrics
@@ -72,7 +72,7 @@
         self.ballots: list[Ballot] = []
         # Keys whose ending is being told to the holders.
         self.settling: set[str] = set()
-        self.jobs = Jobs()
+        self.background_tasks = BackgroundTasks()
 
     @classmethod
     def from_config(
@@ -97,8 +97,8 @@
     async def close(self) -> None:
         """Stop voting; claims under way are withdrawn by their callers."""
         await self.stamps.close()
-        await self.jobs.close()
-        await self.links.jobs.close()
+        await self.background_tasks.close()
+        await self.links.background_tasks.close()
         await self.holder.close()
 
     def apply_revision(self, revision: Revision) -> None:
@@ -246,7 +246,7 @@
 
     def withdraw(self, attempt: Attempt) -> None:
         """Have holders forget an attempt that never runs."""
-        self.jobs.run(self.tell(Release(attempt)))
+        self.background_tasks.run(self.tell(Release(attempt)))
 
     async def tell(self, request: Finish | Release) -> None:
         """Tell every holder; return once a majority knows or all failed."""
@@ -257,7 +257,7 @@
         told = asyncio.Semaphore(0)
         names = holder_set.names
         for holder in names:
-            self.jobs.run(self.tell_holder(holder, request, told))
+            self.background_tasks.run(self.tell_holder(holder, request, told))
         for _ in range(majority(len(names))):
             await told.acquire()
 
--- a/godwitshunt/claims/tests/test_journal.py
+++ b/godwitshunt/claims/tests/test_journal.py
@@ -128,13 +128,13 @@
     """
     region = await Region(2, tmp_path, 'ab').start_all()
     key = region.key()
-    region.network.cut.add(('b', 'a'))
+    region.network.partitioned.add(('b', 'a'))
     job = asyncio.ensure_future(region.tasks['a'].claim(key, b'd', 1.0))
     await region.network.advance(0.02)
     for name in 'ab':
         region.kill(name)
     job.cancel()
-    region.network.cut.clear()
+    region.network.partitioned.clear()
     for name in 'ab':
         await region.start(name)
     await region.network.advance(0.6)
--- a/godwitshunt/claims/tests/test_task.py
+++ b/godwitshunt/claims/tests/test_task.py
@@ -201,9 +201,9 @@
         if how == 'killed':
             region.kill(name)
         elif how == 'frozen':
-            region.network.held.add(('a', name))
+            region.network.stalled.add(('a', name))
         else:
-            region.network.cut.add((name, 'a'))
+            region.network.partitioned.add((name, 'a'))
     assert isinstance(await region.claim('a', key), expected)
 
 
@@ -214,7 +214,7 @@
     """
     region = await Region(2).start_all()
     key = region.key()
-    region.network.held.add(('a', 'b'))
+    region.network.stalled.add(('a', 'b'))
     assert isinstance(await region.claim('a', key), NoMajority)
     region.network.release()
     await region.network.advance(3.0)
--- a/godwitshunt/exchange/health.py
+++ b/godwitshunt/exchange/health.py
@@ -63,4 +63,4 @@
         if not self.told:
             self.ports.record_abandoned(upstream)
         membership = self.ports.membership
-        membership.note_finished(upstream.name, target.uncached_tokens)
+        membership.record_finished(upstream.name, target.uncached_tokens)
--- a/godwitshunt/exchange/ports.py
+++ b/godwitshunt/exchange/ports.py
@@ -45,7 +45,7 @@
     def record_sent(self, name: str, tokens: int) -> None:
         """Count a request that was sent to an upstream."""
 
-    def note_finished(self, name: str, tokens: int) -> None:
+    def record_finished(self, name: str, tokens: int) -> None:
         """Count the end of a request, however it ended."""
 
 
--- a/godwitshunt/exchange/tests/fakes.py
+++ b/godwitshunt/exchange/tests/fakes.py
@@ -103,7 +103,7 @@
     def record_sent(self, name: str, tokens: int) -> None:
         self.in_progress[name] += 1
 
-    def note_finished(self, name: str, tokens: int) -> None:
+    def record_finished(self, name: str, tokens: int) -> None:
         self.in_progress[name] -= 1
 
 
--- a/godwitshunt/ingress/tests/test_full_upstreams.py
+++ b/godwitshunt/ingress/tests/test_full_upstreams.py
@@ -42,7 +42,7 @@
     learned = attempt_recorder(in_flight)
     learned.record(shown, SERVICE, now_s=1.0)
     detector = learned.upstreams.outliers.get('llm')
-    return detector is not None and detector.states['i-1'].failures > 0
+    return detector is not None and detector.states['i-1'].failure_share > 0
 
 
 @pytest.mark.parametrize(
--- a/godwitshunt/membership/jobs.py
+++ b/godwitshunt/membership/background_tasks.py
@@ -6,7 +6,7 @@
 
 
 @dataclass
-class Jobs:
+class BackgroundTasks:
     """Keeps running coroutines, so that closing ends them."""
 
     running: set[asyncio.Task[None]] = field(default_factory=set)
--- a/godwitshunt/membership/events.py
+++ b/godwitshunt/membership/events.py
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True)
-class Sent:
+class RequestSent:
     """A request went to an upstream, with so many uncached prompt tokens."""
 
     name: str
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True)
-class Finished:
+class RequestFinished:
     """A request that this VM sent is over."""
 
     name: str
@@ -136,7 +136,13 @@
 
 
 UpstreamEvent = (
-    Announced | Gossiped | Withdrawn | PrefixesChanged | Sent | Finished | Tick
+    Announced
+    | Gossiped
+    | Withdrawn
+    | PrefixesChanged
+    | RequestSent
+    | RequestFinished
+    | Tick
 )
 
 
--- a/godwitshunt/membership/records.py
+++ b/godwitshunt/membership/records.py
@@ -105,7 +105,7 @@
         """Count a request that this VM sent."""
         self.sends.append((now_s, tokens))
 
-    def note_finished(self, tokens: int, now_s: float) -> None:
+    def record_finished(self, tokens: int, now_s: float) -> None:
         """Stop counting the oldest request of this length."""
         oldest = next((sent for sent in self.sends if sent[1] == tokens), None)
         if oldest is None:
--- a/godwitshunt/membership/region_gossip.py
+++ b/godwitshunt/membership/region_gossip.py
@@ -6,6 +6,7 @@
 from result import Err
 
 from godwitshunt.exceptions import FrameError
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.membership.events import (
     DetailsMissing,
     Tick,
@@ -18,7 +19,6 @@
     GossipSender,
     table_digest,
 )
-from godwitshunt.membership.jobs import Jobs
 from godwitshunt.membership.peers import RegionPeers
 from godwitshunt.membership.regions import RegionWatch
 from godwitshunt.membership.summaries import rendezvous_order
@@ -76,7 +76,7 @@
         self.transit = TransitClock(secrets.randbits(SESSION_BITS))
         self.sender = GossipSender()
         self.reader = GossipReader()
-        self.jobs = Jobs()
+        self.background_tasks = BackgroundTasks()
         self.subscriptions: list[Subscription] = []
         self.leaving = False
         self.flushed_s = float('-inf')
@@ -100,7 +100,7 @@
         """Send no more."""
         for subscription in self.subscriptions:
             subscription.cancel()
-        await self.jobs.close()
+        await self.background_tasks.close()
 
     def follow_peers(self, known: frozenset[str]) -> None:
         """Follow a change of the region's VMs.
@@ -116,14 +116,14 @@
         # all of them, so that it need not wait for their announcements.
         if not known and names and not self.table.records:
             first = rendezvous_order(names, self.peers.name)[0]
-            self.jobs.run(self.fetch(first, own_only=False))
+            self.background_tasks.run(self.fetch(first, own_only=False))
 
-    def leave(self) -> None:
+    def announce_draining(self) -> None:
         """Tell the region that this VM takes no new requests."""
         self.leaving = True
         self.flush()
 
-    def absent_vms(self) -> frozenset[str]:
+    def unavailable_vms(self) -> frozenset[str]:
         """Return the region's VMs that drain or are not heard of."""
         absent = self.peers.absent(self.transit.heard, self.timer.now())
         if self.leaving:
@@ -250,7 +250,7 @@
         if now_s - self.fetched_s.get(peer, float('-inf')) < FETCH_PAUSE_S:
             return
         self.fetched_s[peer] = now_s
-        self.jobs.run(self.fetch(peer, own_only=own_only))
+        self.background_tasks.run(self.fetch(peer, own_only=own_only))
 
     async def fetch(self, peer: str, *, own_only: bool) -> None:
         """Fetch and apply a peer's table."""
--- a/godwitshunt/membership/regions.py
+++ b/godwitshunt/membership/regions.py
@@ -5,9 +5,9 @@
 from result import Ok
 
 from godwitshunt.exceptions import FrameError
+from godwitshunt.membership.background_tasks import BackgroundTasks
 from godwitshunt.membership.events import MILLISECONDS
 from godwitshunt.membership.gen.wire.ttypes import Summary
-from godwitshunt.membership.jobs import Jobs
 from godwitshunt.membership.peers import RegionPeers
 from godwitshunt.membership.summaries import (
     RegionReport,
@@ -51,7 +51,7 @@
         self.timer = timer
         self.metrics = metrics
         self.table = RegionTable()
-        self.jobs = Jobs()
+        self.background_tasks = BackgroundTasks()
         self.notices: list[Callable[[RegionReport], None]] = []
 
     def subscribe(self, notice: Callable[[RegionReport], None]) -> None:
@@ -60,7 +60,7 @@
 
     async def close(self) -> None:
         """End the questions under way."""
-        await self.jobs.close()
+        await self.background_tasks.close()
 
     def learn(self, report: RegionReport) -> bool:
         """Keep another region's report where it is newer."""
@@ -76,7 +76,7 @@
             rank = rendezvous_order(own, region).index(self.peers.name)
             if self.table.is_due(region, rank, now_s):
                 self.table.note_asked(region, now_s)
-                self.jobs.run(self.ask_region(region))
+                self.background_tasks.run(self.ask_region(region))
 
     async def ask_region(self, region: str) -> None:
         """Ask a region's VMs in this VM's own order until one answers."""
--- a/godwitshunt/membership/table.py
+++ b/godwitshunt/membership/table.py
@@ -14,7 +14,6 @@
     MILLISECONDS,
     Announced,
     DetailsMissing,
-    Finished,
     Full,
     Gossiped,
     Joined,
@@ -23,7 +22,8 @@
     Left,
     PrefixesChanged,
     Refreshed,
-    Sent,
+    RequestFinished,
+    RequestSent,
     Stale,
     Tick,
     UpstreamChange,
@@ -82,7 +82,7 @@
                 return self.withdrawn(event, now_s)
             case PrefixesChanged():
                 self.prefixes_changed(event)
-            case Sent() | Finished():
+            case RequestSent() | RequestFinished():
                 self.work_changed(event, now_s)
             case Tick():
                 return self.lapse(now_s)
@@ -216,15 +216,17 @@
         record.change_prefixes(event.added, event.dropped)
         self.changed.add(event.name)
 
-    def work_changed(self, event: Sent | Finished, now_s: float) -> None:
+    def work_changed(
+        self, event: RequestSent | RequestFinished, now_s: float
+    ) -> None:
         """Count what this VM sent to an upstream."""
         record = self.records.get(event.name)
         if record is None:
             return
-        if isinstance(event, Sent):
+        if isinstance(event, RequestSent):
             record.record_sent(event.tokens, now_s)
         else:
-            record.note_finished(event.tokens, now_s)
+            record.record_finished(event.tokens, now_s)
         self.changed.add(event.name)
 
     def views(self, now_s: float) -> tuple[UpstreamView, ...]:
--- a/godwitshunt/membership/task.py
+++ b/godwitshunt/membership/task.py
@@ -15,13 +15,13 @@
 from godwitshunt.membership.events import (
     Announced,
     DetailsMissing,
-    Finished,
     Full,
     Joined,
     Lapsed,
     Late,
     Left,
-    Sent,
+    RequestFinished,
+    RequestSent,
     Stale,
     UpstreamChange,
     UpstreamEvent,
@@ -202,19 +202,19 @@
 
     def record_sent(self, upstream: str, tokens: int) -> None:
         """Count a request sent to an upstream of this region."""
-        self.table.apply(Sent(upstream, tokens), self.timer.now())
+        self.table.apply(RequestSent(upstream, tokens), self.timer.now())
 
-    def note_finished(self, upstream: str, tokens: int) -> None:
+    def record_finished(self, upstream: str, tokens: int) -> None:
         """Stop counting a request that is over."""
-        self.table.apply(Finished(upstream, tokens), self.timer.now())
+        self.table.apply(RequestFinished(upstream, tokens), self.timer.now())
 
-    def leave(self) -> None:
+    def announce_draining(self) -> None:
         """Tell the region that this VM takes no new requests."""
-        self.gossip.leave()
+        self.gossip.announce_draining()
 
-    def absent_vms(self) -> frozenset[str]:
+    def unavailable_vms(self) -> frozenset[str]:
         """Return the region's VMs that drain or are not heard of."""
-        return self.gossip.absent_vms()
+        return self.gossip.unavailable_vms()
 
     def take(self, event: UpstreamEvent) -> tuple[UpstreamChange, ...]:
         """Apply an event to the table; count and log what it changed."""
@@ -244,6 +244,6 @@
             made_s=now_s,
             round_trip_s=0,
             capacities=summarize(self.table.views(now_s)),
-            absent=self.absent_vms(),
+            absent=self.unavailable_vms(),
         )
         return encode(report_to_wire(report, now_s))
--- a/godwitshunt/membership/tests/network.py
+++ b/godwitshunt/membership/tests/network.py
@@ -35,8 +35,8 @@
     """
 
     timer: VirtualTimerService = field(default_factory=VirtualTimerService)
-    cut: set[tuple[str, str]] = field(default_factory=set)
-    held: set[tuple[str, str]] = field(default_factory=set)
+    partitioned: set[tuple[str, str]] = field(default_factory=set)
+    stalled: set[tuple[str, str]] = field(default_factory=set)
     copies: int = 1
     waiting: list[tuple] = field(default_factory=list)
     links: dict[Address, 'FakeLinks'] = field(default_factory=dict)
@@ -49,9 +49,9 @@
 
     def carry(self, way: tuple[str, str], arrive: object) -> None:
         """Let a message arrive, or not."""
-        if way in self.cut:
+        if way in self.partitioned:
             return
-        if way in self.held:
+        if way in self.stalled:
             self.waiting.append((way, arrive))
             return
         for _ in range(self.copies):
@@ -59,7 +59,7 @@
 
     def release(self) -> None:
         """Let everything that was held arrive, in its order."""
-        self.held.clear()
+        self.stalled.clear()
         waiting = tuple(self.waiting)
         self.waiting.clear()
         for way, arrive in waiting:
--- a/godwitshunt/membership/tests/test_table.py
+++ b/godwitshunt/membership/tests/test_table.py
@@ -7,7 +7,6 @@
 from godwitshunt.membership.events import (
     Announced,
     DetailsMissing,
-    Finished,
     Full,
     Gossiped,
     Joined,
@@ -15,7 +14,8 @@
     Left,
     PrefixesChanged,
     Refreshed,
-    Sent,
+    RequestFinished,
+    RequestSent,
     Stale,
     Tick,
     UpstreamDetails,
@@ -206,14 +206,14 @@
     table = UpstreamTable('split')
     table.apply(announced(1, 1), 0.0)
     for sent_s, tokens in ((0.1, 100), (0.9, 200), (0.95, 300)):
-        table.apply(Sent('e1', tokens), sent_s)
+        table.apply(RequestSent('e1', tokens), sent_s)
     assert table.views(0.96)[0].sent_since == 3
     table.apply(announced(1, 2, running=1, measured_age_ms=500), 1.0)
     view = table.views(1.0)[0]
     assert (view.sent_since, view.sent_tokens_since) == (2, 500)
     assert view.report_age_s == pytest.approx(0.5)
-    table.apply(Finished('e1', 300), 1.1)
-    table.apply(Finished('e1', 7), 1.1)
+    table.apply(RequestFinished('e1', 300), 1.1)
+    table.apply(RequestFinished('e1', 7), 1.1)
     assert table.views(1.1)[0].sent_tokens_since == 200
 
 
@@ -225,10 +225,10 @@
     table = UpstreamTable('split')
     table.apply(announced(1, 1), 0.0)
     for sent_s in (0.1, 0.2, 0.9):
-        table.apply(Sent('e1', 100), sent_s)
+        table.apply(RequestSent('e1', 100), sent_s)
     table.apply(announced(1, 2, running=2, measured_age_ms=500), 1.0)
     assert table.views(1.0)[0].finished_since == 0
-    table.apply(Finished('e1', 100), 1.1)
+    table.apply(RequestFinished('e1', 100), 1.1)
     assert table.views(1.1)[0].finished_since == 1
     table.apply(announced(1, 3, running=1), 1.2)
     assert table.views(1.2)[0].finished_since == 0
--- a/godwitshunt/membership/tests/test_task.py
+++ b/godwitshunt/membership/tests/test_task.py
@@ -99,7 +99,7 @@
     assert (summary.free_slots, summary.slots) == (4, 4)
     assert [name for name, _ in summary.vms] == ['a', 'b', 'c']
     assert summary.round_trip_s == pytest.approx(0.005, abs=0.004)
-    region.tasks['b'].leave()
+    region.tasks['b'].announce_draining()
     await region.announce('a', 5, first=5)
     summary = region.tasks['z'].view(0).summaries[0]
     assert [name for name, _ in summary.vms] == ['a', 'c']
@@ -118,9 +118,9 @@
     await region.announce('a', 3)
     region.network.copies = 2 if fault == 'doubled' else 1
     if fault == 'lost':
-        region.network.cut.add(('a', 'c'))
+        region.network.partitioned.add(('a', 'c'))
     if fault == 'frozen':
-        region.network.held.add(('a', 'c'))
+        region.network.stalled.add(('a', 'c'))
     # Between two batches: the news must not wait for the next.
     await region.network.advance(0.03)
     region.tasks['a'].announce('e1', announcement(4, leaving=True))
@@ -137,7 +137,7 @@
     They tell of an upstream that has died since. The VM must not use it, not
     even for one lease.
     """
-    region.network.held.update({('a', 'c'), ('b', 'c')})
+    region.network.stalled.update({('a', 'c'), ('b', 'c')})
     await region.announce('a', 2)
     await region.network.advance(5.0)
     region.network.release()
@@ -152,12 +152,12 @@
     The peer has not heard from it yet, so they echo no reading of its clock
     and their age is unknown; it drops them and asks.
     """
-    region.network.cut.update({('c', 'a'), ('c', 'b')})
+    region.network.partitioned.update({('c', 'a'), ('c', 'b')})
     await region.start('c')
-    region.network.held.add(('a', 'c'))
+    region.network.stalled.add(('a', 'c'))
     region.tasks['a'].announce('e1', announcement(1))
     await region.network.advance(3.0)
-    region.network.cut.clear()
+    region.network.partitioned.clear()
     region.network.release()
     for _ in range(10):
         await region.network.advance(0.005)
@@ -177,10 +177,10 @@
 
     The loads that follow are of no use to it until it fetches the rest.
     """
-    region.network.cut.add(('a', 'c'))
+    region.network.partitioned.add(('a', 'c'))
     region.tasks['a'].announce('e1', announcement(1))
     await region.network.advance(0.3)
-    region.network.cut.clear()
+    region.network.partitioned.clear()
     region.tasks['a'].announce('e1', announcement(2))
     await region.network.advance(0.3)
     assert region.seen('c') == ['e1']
--- a/godwitshunt/picking/chooser.py
+++ b/godwitshunt/picking/chooser.py
@@ -110,7 +110,7 @@
         limit_s = min(
             request.remaining_s,
             request.route.objective_s * MAX_WAIT_SHARE
-            + speed.reading_s(best.unread_tokens),
+            + speed.prefill_s(best.unread_tokens),
         )
         if best.predicted_s > limit_s:
             over_s = best.predicted_s - request.route.objective_s
--- a/godwitshunt/picking/tests/test_learned_speed.py
+++ b/godwitshunt/picking/tests/test_learned_speed.py
@@ -46,7 +46,7 @@
     errors = []
     for seed in range(20):
         speed = estimate_speed(tokens_per_s, first_s, seed)
-        predicted_s = speed.first_s + speed.reading_s(6000)
+        predicted_s = speed.first_s + speed.prefill_s(6000)
         true_s = first_s + 6000 / tokens_per_s
         errors.append(abs(predicted_s - true_s) / true_s)
     assert pytest.approx(0.0, abs=0.25) == median(errors)
@@ -55,9 +55,9 @@
 def test_one_outlier_changes_the_estimate_little():
     """An engine hung for half a minute before it answered."""
     speed = LearnedSpeed.for_engine()
-    before_s = speed.service_speed().reading_s(1000)
+    before_s = speed.service_speed().prefill_s(1000)
     speed.record_first_event(30.0, 5000)
-    assert speed.service_speed().reading_s(1000) < 2 * before_s
+    assert speed.service_speed().prefill_s(1000) < 2 * before_s
 
 
 def test_a_plain_service_has_no_prompt_to_read():
--- a/godwitshunt/programs/entry.py
+++ b/godwitshunt/programs/entry.py
@@ -156,7 +156,7 @@
         The exchange goes first: calls in progress still need their claims
         settled and the configuration's news.
         """
-        self.membership.leave()
+        self.membership.announce_draining()
         try:
             async with asyncio.timeout(self.settings.drain_limit_s):
                 await self.exchange.close()
--- a/godwitshunt/programs/entry_ports.py
+++ b/godwitshunt/programs/entry_ports.py
@@ -61,9 +61,9 @@
         """Count a request that was sent to an upstream."""
         self.task.record_sent(name, tokens)
 
-    def note_finished(self, name: str, tokens: int) -> None:
+    def record_finished(self, name: str, tokens: int) -> None:
         """Count the end of a request, however it ended."""
-        self.task.note_finished(name, tokens)
+        self.task.record_finished(name, tokens)
 
 
 def lease_of(accepted: AnnounceAccepted) -> float:
@@ -159,5 +159,5 @@
             revision.vms,
             self.region,
             caller,
-            draining=self.membership.absent_vms(),
+            draining=self.membership.unavailable_vms(),
         )
--- a/godwitshunt/registry/tests/test_views.py
+++ b/godwitshunt/registry/tests/test_views.py
@@ -97,7 +97,7 @@
     table.announce(announced(), 0)
     merged = MergedTables(REGIONS)
     merged.take(news(table, 0), 0, 0)
-    merged.leave('i-1', 1)
+    merged.mark_replaced('i-1', 1)
     merged.take(news(table, 1), 1, 1)
     assert merged.view(1).upstreams == {}
 
--- a/godwitshunt/routing/outliers.py
+++ b/godwitshunt/routing/outliers.py
@@ -60,7 +60,7 @@
     """
 
     samples: int = 0
-    failures: float = 0.0
+    failure_share: float = 0.0
     slowness: float = 1.0
     ejected_until_s: float | None = None
     ejection_s: float = 0.0
@@ -77,7 +77,7 @@
                 self.slowness += MEMORY * (ratio - self.slowness)
             case Failed():
                 failed = 1.0
-        self.failures += MEMORY * (failed - self.failures)
+        self.failure_share += MEMORY * (failed - self.failure_share)
 
     def eject(
         self,
@@ -96,7 +96,7 @@
         """Give work again; only the ejection's length is remembered."""
         self.ejected_until_s = None
         self.samples = 0
-        self.failures = 0.0
+        self.failure_share = 0.0
         self.slowness = 1.0
 
 
@@ -181,7 +181,7 @@
         ]
         common = median(peer.slowness for peer in peers) if peers else 1.0
         slow = state.slowness > SLOW_RATIO * max(1.0, common)
-        return slow or state.failures > FAILURE_SHARE
+        return slow or state.failure_share > FAILURE_SHARE
 
     def may_eject(self, present: Collection[str]) -> bool:
         """Return whether one more ejection leaves enough upstreams."""
--- a/godwitshunt/routing/selection.py
+++ b/godwitshunt/routing/selection.py
@@ -80,7 +80,7 @@
     tokens_per_s: float
     run_s: float
 
-    def reading_s(self, tokens: float) -> float:
+    def prefill_s(self, tokens: float) -> float:
         """Return the seconds that reading tokens takes."""
         return tokens / self.tokens_per_s if self.tokens_per_s else 0.0
 
@@ -231,7 +231,7 @@
     parts = demand.unread_tokens(cached=False) - demand.unread_tokens(
         cached=True
     )
-    again_s = READ_AGAIN_WEIGHT * speed.reading_s(parts)
+    again_s = READ_AGAIN_WEIGHT * speed.prefill_s(parts)
     return replace(ranked, cost_s=ranked.cost_s + again_s)
 
 
@@ -284,15 +284,15 @@
     unread = demand.unread_tokens(cached=owns or candidate.cached)
     ahead = URGENT_WAIT_SHARE if demand.urgent else 1.0
     waiting = unread + ahead * candidate.pending_tokens
-    reading_s = speed.reading_s(waiting)
+    prefill_s = speed.prefill_s(waiting)
     over = max(0, candidate.in_flight + 1 - candidate.slots)
     queueing_s = over * speed.run_s / max(1, candidate.slots)
     crowd_s = 0.0
     if speed.tokens_per_s:
-        held_up = HOLD_UP_SHARE * speed.reading_s(unread)
+        held_up = HOLD_UP_SHARE * speed.prefill_s(unread)
         crowd_s = candidate.in_flight * (CROWDING_S + held_up)
         crowd_s += FULL_S if over else 0.0
-    raw_s = speed.first_s + reading_s + queueing_s + candidate.delay_s
+    raw_s = speed.first_s + prefill_s + queueing_s + candidate.delay_s
     predicted_s = max(speed.first_s, raw_s) + candidate.away_s
     # That a busy one was faster than predicted is no reason to prefer it.
     early_s = min(0.0, candidate.delay_s)
