--- a/godwitshunt/configuration/tests/test_distribution.py
+++ b/godwitshunt/configuration/tests/test_distribution.py
@@ -256,7 +256,7 @@
     for port, revision in replies.items():
         news = RevisionHistory()
         if revision:
-            news.add(history.held[revision])
+            news.add(history.documents[revision])
         body = encode(news.make_update(0, float('inf')))
 
         async def answer(sender, asked, body=body):
--- a/godwitshunt/configuration/tests/test_following.py
+++ b/godwitshunt/configuration/tests/test_following.py
@@ -61,7 +61,7 @@
     for revision, document in enumerate(versions, start=1):
         held = DocumentRevision(revision, digest_of(document), document)
         committed[revision] = held.digest
-        bases = [0, *history.held]
+        bases = [0, *history.documents]
         history.add(held)
         sent += [history.make_update(base, 0) for base in bases]
     for news in data.draw(st.lists(st.sampled_from(sent), max_size=12)):
@@ -88,7 +88,7 @@
     for number in (1, 2):
         document = Document({'number': number}, {})
         history.add(DocumentRevision(number, digest_of(document), document))
-    delta = history.make_update(next(iter(history.held)), 0)
+    delta = history.make_update(next(iter(history.documents)), 0)
     sync_state, _ = apply_update(SyncState(), delta, 5)
     assert sync_state.latest is None
     assert sync_state.proof_at < 0
--- a/godwitshunt/configuration/tests/test_kept_revision.py
+++ b/godwitshunt/configuration/tests/test_kept_revision.py
@@ -62,7 +62,7 @@
     deployment.add_control('c1', 'zagreb')
     deployment.add_vm('e1', 'zagreb', 201)
     task = deployment.tasks['e1']
-    task.kept = kept
+    task.revision_file = kept
     await deployment.run(2)
     await deployment.accept(manifest())
     await deployment.run(2)
