--- a/godwitshunt/registry/control_tables.py
+++ b/godwitshunt/registry/control_tables.py
@@ -85,7 +85,7 @@
         self.merged = MergedTables(location.regions)
         self.contacts: dict[str, ControlContact] = {}
         self.summed: Mapping[str, Load] = {}
-        self.summed_of: tuple[tuple[str, float], ...] = ()
+        self.summed_inputs: tuple[tuple[str, float], ...] = ()
         self.background = BackgroundTasks()
         self.subscription: Subscription | None = None
 
--- a/godwitshunt/registry/service.py
+++ b/godwitshunt/registry/service.py
@@ -93,7 +93,7 @@
         upstream_file: UpstreamFile | None = None,
     ) -> None:
         self.location = location
-        self.shown = (-1, -1)
+        self.viewed_versions = (-1, -1)
         self.background = BackgroundTasks()
         self.links = links
         self.timer = timer
--- a/godwitshunt/registry/watch.py
+++ b/godwitshunt/registry/watch.py
@@ -140,7 +140,7 @@
         self.prefixes = PrefixTable()
         self.quarantine = Quarantine(QUARANTINE_S, timer.now, metrics)
         self.loads: Mapping[str, Load] = {}
-        self.loads_asof_s = float('-inf')
+        self.loads_received_s = float('-inf')
         self.background = BackgroundTasks()
         self.subscription: Subscription | None = None
         self.started_s = float('-inf')
