--- a/godwitshunt/configuration/revision_file.py
+++ b/godwitshunt/configuration/revision_file.py
@@ -11,7 +11,7 @@
     unpack_document,
 )
 from godwitshunt.configuration.history import DocumentRevision
-from godwitshunt.storage import KeptFile, KeptRecord
+from godwitshunt.storage import AtomicFile, StoredRecord
 
 FILE_NAME = 'configuration.bin'
 MAGIC = b'GWC1'
@@ -24,9 +24,9 @@
     folder: Path
 
     @property
-    def file(self) -> KeptFile:
+    def file(self) -> AtomicFile:
         """Where the revision is kept."""
-        return KeptFile(self.folder / FILE_NAME, MAGIC)
+        return AtomicFile(self.folder / FILE_NAME, MAGIC)
 
     def read(self) -> DocumentRevision | None:
         """Return the kept revision; None where there is none that is whole.
@@ -52,4 +52,4 @@
             Where the disk is full or cannot be written.
         """
         body = pack_document(held.document)
-        self.file.write(KeptRecord(held.revision, body))
+        self.file.write(StoredRecord(held.revision, body))
--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -122,7 +122,7 @@
         others = tuple(
             address
             for address in settings.control
-            if address != settings.peer_reached
+            if address != settings.peer_endpoint
         )
         revision_file = None
         if settings.keeps_revision:
--- a/godwitshunt/consensus/options.py
+++ b/godwitshunt/consensus/options.py
@@ -44,7 +44,7 @@
         """Read the options from a control program's settings."""
         return cls(
             name=settings.name,
-            address=settings.peer_reached,
+            address=settings.peer_endpoint,
             replica=ReplicaOptions(
                 election_timeout_s=settings.election_timeout_s,
                 heartbeat_s=settings.heartbeat_s,
--- a/godwitshunt/programs/control_process.py
+++ b/godwitshunt/programs/control_process.py
@@ -58,7 +58,7 @@
         self.api = OperatorApi(
             self.service,
             settings.operator_token_sha256,
-            Cluster(self.consensus, settings.control, settings.peer_reached),
+            Cluster(self.consensus, settings.control, settings.peer_endpoint),
         )
         self.placement = PlacementTask.from_config(
             settings,
@@ -72,7 +72,7 @@
         self.api.add_status(self.placement.describe)
         self.registry = RegistryService.from_config(
             ControlLocation(
-                settings.peer_reached,
+                settings.peer_endpoint,
                 settings.region,
                 settings.domains,
                 self.known_control,
--- a/godwitshunt/programs/ingress_process.py
+++ b/godwitshunt/programs/ingress_process.py
@@ -139,7 +139,7 @@
             session=self.session,
             region=self.settings.region,
             failure_domain=self.settings.failure_domain,
-            http=self.settings.http_reached,
+            http=self.settings.http_endpoint,
             hop=self.settings.hop,
             accepting=self.ingress.accepting,
         )
--- a/godwitshunt/programs/start.py
+++ b/godwitshunt/programs/start.py
@@ -81,7 +81,7 @@
         region=settings.region,
         failure_domain=settings.failure_domain,
         role=role,
-        http=settings.http_reached,
-        peer=settings.peer_reached,
+        http=settings.http_endpoint,
+        peer=settings.peer_endpoint,
         session=session,
     )
--- a/godwitshunt/registry/tests/test_power_loss.py
+++ b/godwitshunt/registry/tests/test_power_loss.py
@@ -19,7 +19,7 @@
 from godwitshunt.registry.tests.test_merged_tables import REGIONS, table_update
 from godwitshunt.registry.tests.test_table import announced
 from godwitshunt.registry.upstream_file import FILE_NAME, UpstreamFile
-from godwitshunt.storage import KeptFile, KeptRecord
+from godwitshunt.storage import AtomicFile, StoredRecord
 from godwitshunt.telemetry import Metrics
 from godwitshunt.timer import VirtualTimerService
 
@@ -113,8 +113,8 @@
 async def test_file_with_other_content_is_ignored(tmp_path):
     """The checksum is right but the content is no table of upstreams."""
     stored = UpstreamFile(tmp_path).storage
-    written = KeptFile(stored.path, stored.magic)
-    written.write(KeptRecord(1, b'\xff' * 40))
+    written = AtomicFile(stored.path, stored.magic)
+    written.write(StoredRecord(1, b'\xff' * 40))
     assert started(tmp_path).upstreams.entries == {}
 
 
@@ -138,7 +138,7 @@
         raise StorageError('disk', 'full')
 
     with monkeypatch.context() as full:
-        full.setattr(KeptFile, 'write', refuse)
+        full.setattr(AtomicFile, 'write', refuse)
         service.withdraw('i-1')
         assert not await service.flush()
         assert not await service.flush()
@@ -165,14 +165,14 @@
         service.announce(announced(name, port=port))
     assert await service.flush()
     started_write, may_finish = threading.Event(), threading.Event()
-    write = KeptFile.write
+    write = AtomicFile.write
 
     def write_slowly(self, record):
         started_write.set()
         may_finish.wait(5)
         write(self, record)
 
-    monkeypatch.setattr(KeptFile, 'write', write_slowly)
+    monkeypatch.setattr(AtomicFile, 'write', write_slowly)
     service.withdraw('i-1')
     first = asyncio.create_task(service.flush())
     await asyncio.to_thread(started_write.wait, 5)
--- a/godwitshunt/registry/upstream_file.py
+++ b/godwitshunt/registry/upstream_file.py
@@ -23,7 +23,7 @@
     upstream_from_wire,
     upstream_to_wire,
 )
-from godwitshunt.storage import KeptFile, KeptRecord
+from godwitshunt.storage import AtomicFile, StoredRecord
 from godwitshunt.telemetry import log_change
 
 FILE_NAME = 'upstreams.bin'
@@ -37,9 +37,9 @@
     folder: Path
 
     @property
-    def storage(self) -> KeptFile:
+    def storage(self) -> AtomicFile:
         """The file on disk."""
-        return KeptFile(self.folder / FILE_NAME, MAGIC)
+        return AtomicFile(self.folder / FILE_NAME, MAGIC)
 
     def restore(
         self,
@@ -76,7 +76,7 @@
         table: UpstreamTable,
         suspects: SuspectTable,
         now_s: float,
-    ) -> KeptRecord:
+    ) -> StoredRecord:
         """Return the record to store.
 
         Of the lost requests only suspected ones are stored.
@@ -90,4 +90,4 @@
             gone=ends_to_wire(table.ended_since(0)),
             suspects=suspects_to_wire(lost, now_s),
         )
-        return KeptRecord(table.version, encode(body))
+        return StoredRecord(table.version, encode(body))
--- a/godwitshunt/settings/models.py
+++ b/godwitshunt/settings/models.py
@@ -92,12 +92,12 @@
     log: LogSettings = LogSettings()
 
     @property
-    def http_reached(self) -> Address:
+    def http_endpoint(self) -> Address:
         """Where others reach the HTTP listener."""
         return self.http_advertised or self.http
 
     @property
-    def peer_reached(self) -> Address:
+    def peer_endpoint(self) -> Address:
         """Where others reach the peer listener."""
         return self.peer_advertised or self.peer
 
--- a/godwitshunt/settings/tests/test_models.py
+++ b/godwitshunt/settings/tests/test_models.py
@@ -58,5 +58,5 @@
     path = tmp_path / 'entry.json'
     path.write_text(json.dumps(SETTINGS | {'http_advertised': outer}))
     settings = read_settings(path, EntrySettings)
-    assert settings.http_reached.host == '127.0.0.9'
-    assert settings.peer_reached == settings.peer
+    assert settings.http_endpoint.host == '127.0.0.9'
+    assert settings.peer_endpoint == settings.peer
--- a/godwitshunt/storage/kept_file.py
+++ b/godwitshunt/storage/kept_file.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class KeptRecord:
+class StoredRecord:
     """A record as it stands in its file.
 
     Parameters
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class KeptFile:
+class AtomicFile:
     """A file that is replaced as a whole.
 
     A crash while a file is written leaves a part of it; so the new one is
@@ -46,7 +46,7 @@
     path: Path
     magic: bytes
 
-    def read(self) -> KeptRecord | None:
+    def read(self) -> StoredRecord | None:
         """Return the record; None where there is none that is whole.
 
         Raises
@@ -62,7 +62,7 @@
             raise self.fault(failed) from None
         return self.parse(content)
 
-    def parse(self, content: bytes) -> KeptRecord | None:
+    def parse(self, content: bytes) -> StoredRecord | None:
         """Return the record in a file's content; None where it is damaged."""
         if len(content) < HEADER.size:
             return None
@@ -70,9 +70,9 @@
         body = content[HEADER.size :]
         if magic != self.magic or crc32c.crc32c(body) != checksum:
             return None
-        return KeptRecord(number, body)
+        return StoredRecord(number, body)
 
-    def write(self, record: KeptRecord) -> None:
+    def write(self, record: StoredRecord) -> None:
         """Keep a record; it is on the disk when this returns.
 
         Raises
--- a/godwitshunt/storage/tests/test_kept_file.py
+++ b/godwitshunt/storage/tests/test_kept_file.py
@@ -3,15 +3,15 @@
 import pytest
 
 from godwitshunt.exceptions import StorageError
-from godwitshunt.storage import KeptFile, KeptRecord
+from godwitshunt.storage import AtomicFile, StoredRecord
 
-FIRST, SECOND = KeptRecord(1, b'first'), KeptRecord(2, b'second' * 100)
+FIRST, SECOND = StoredRecord(1, b'first'), StoredRecord(2, b'second' * 100)
 
 
 @pytest.fixture
 def kept(tmp_path):
     """Return a file that does not exist yet, in a folder that neither does."""
-    return KeptFile(tmp_path / 'data' / 'kept.bin', b'TEST')
+    return AtomicFile(tmp_path / 'data' / 'kept.bin', b'TEST')
 
 
 def test_the_last_record_is_read(kept):
@@ -48,13 +48,13 @@
 def test_a_file_of_another_kind_is_none(kept):
     """Two files of a folder were exchanged."""
     kept.write(FIRST)
-    assert KeptFile(kept.path, b'ELSE').read() is None
+    assert AtomicFile(kept.path, b'ELSE').read() is None
 
 
 def test_a_folder_that_cannot_be_made_is_told(tmp_path):
     """The data folder's place is taken by a file."""
     (tmp_path / 'data').write_bytes(b'')
-    file = KeptFile(tmp_path / 'data' / 'kept.bin', b'TEST')
+    file = AtomicFile(tmp_path / 'data' / 'kept.bin', b'TEST')
     with pytest.raises(StorageError):
         file.write(FIRST)
     with pytest.raises(StorageError):
