--- a/godwitshunt/routing/limits_task.py
+++ b/godwitshunt/routing/limits_task.py
@@ -104,7 +104,7 @@
             if vm is not None:
                 update = self.limits.compose_update(name, now)
                 body = encode(update_to_wire(update))
-                self.links.tell(vm.peer, MessageKind.limit_gossip, body)
+                self.links.notify(vm.peer, MessageKind.limit_gossip, body)
 
     async def receive(self, sender: str, body: bytes) -> None:
         """Apply a peer's update; ignore senders that are no admitted VM."""
--- a/godwitshunt/routing/tests/test_limits.py
+++ b/godwitshunt/routing/tests/test_limits.py
@@ -264,7 +264,7 @@
     def subscribe(self, kind, handler):
         self.handlers[kind] = handler
 
-    def tell(self, address, kind, body):
+    def notify(self, address, kind, body):
         self.sent.append((address, kind, body))
 
 
--- a/godwitshunt/tracing/losses.py
+++ b/godwitshunt/tracing/losses.py
@@ -11,7 +11,7 @@
 from math import floor
 
 from godwitshunt.tracing.lines import LogLine
-from godwitshunt.tracing.story import ENDED, REFUSED, places_of
+from godwitshunt.tracing.timeline import ENDED, REFUSED, places_of
 
 WINDOW_S = 2.0
 IN_TIME = 'in time'
@@ -44,7 +44,7 @@
         self.example = self.example or str(line.fields.get('request', ''))
 
 
-def tabulate(logs: Iterable[LogLine]) -> dict[str, LossRow]:
+def tabulate_losses(logs: Iterable[LogLine]) -> dict[str, LossRow]:
     """Return a row for each reason, the most requests first.
 
     Requests that ended in time have a row, too, so that shares can be taken.
