--- a/benchmarks/replica_program.py
+++ b/benchmarks/replica_program.py
@@ -36,16 +36,16 @@
     sent_bytes = 0
     delay_s = 0.0
 
-    def tell(self, address, kind, body) -> None:
+    def notify(self, address, kind, body) -> None:
         """Count a message and send it."""
         self.sent_messages += 1
         envelope = Envelope(kind=kind, call=0, reply=False, body=body)
         self.sent_bytes += len(frame(encode(envelope)))
         if self.delay_s:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.delay_s, super().tell, address, kind, body)
+            loop.call_later(self.delay_s, super().notify, address, kind, body)
         else:
-            super().tell(address, kind, body)
+            super().notify(address, kind, body)
 
 
 class Digest:
@@ -196,7 +196,7 @@
 async def main() -> None:
     """Answer one line of JSON for each line of JSON."""
     program = Program(sys.argv[1], Path(sys.argv[2]), int(sys.argv[3]))
-    tell(await program.start())
+    notify(await program.start())
     reader = asyncio.StreamReader(limit=1 << 24)
     protocol = asyncio.StreamReaderProtocol(reader)
     loop = asyncio.get_running_loop()
@@ -206,10 +206,10 @@
         if not line:
             return
         command, arguments = json.loads(line)
-        tell(await getattr(program, command)(**arguments))
+        notify(await getattr(program, command)(**arguments))
 
 
-def tell(answer: dict) -> None:
+def notify(answer: dict) -> None:
     """Write one answer."""
     sys.stdout.write(f'{json.dumps(answer)}\n')
     sys.stdout.flush()
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -67,11 +67,11 @@
     # One way between failure domains, in seconds; 0 is the bare loopback.
     delay_s = 0
 
-    def tell(self, address, kind, body):
+    def notify(self, address, kind, body):
         """Send a message and count it."""
         self.sent_bytes += len(body) + FRAME_OVERHEAD
         self.sent_messages += 1
-        super().tell(address, kind, body)
+        super().notify(address, kind, body)
 
     async def call(self, address, kind, body, timeout_s):
         """Call a peer and count both directions."""
--- a/godwitshunt/configuration/service.py
+++ b/godwitshunt/configuration/service.py
@@ -318,7 +318,7 @@
             if one.vm.name == self.record.name:
                 continue
             news = self.history.make_update(one.revision, float('inf'))
-            self.links.tell(
+            self.links.notify(
                 one.vm.peer,
                 MessageKind.configuration_news,
                 encode(news),
@@ -389,7 +389,7 @@
             reports.append(report)
         body = encode(ttypes.VmReports(reports=reports))
         for address in self.others:
-            self.links.tell(address, MessageKind.configuration_applied, body)
+            self.links.notify(address, MessageKind.configuration_applied, body)
 
     async def on_reports(self, sender: str, body: bytes) -> None:
         """Note what another control replica heard from VMs."""
--- a/godwitshunt/configuration/tests/fakes.py
+++ b/godwitshunt/configuration/tests/fakes.py
@@ -100,7 +100,7 @@
             return Err(OutcomeUnknown(str(address), 'reply lost'))
         return Ok(reply)
 
-    def tell(self, address, kind, body) -> None:
+    def notify(self, address, kind, body) -> None:
         handler = self.network.handlers.get((address, kind))
         if handler is not None and (self.own, address) not in self.network.cut:
             self.network.bytes_sent += len(body)
--- a/godwitshunt/consensus/transport.py
+++ b/godwitshunt/consensus/transport.py
@@ -65,7 +65,7 @@
         # A learner with an empty folder does not know the members yet.
         known = self.state.membership.is_voter(receiver)
         body = encode_message(message, None if known else self.address)
-        self.links.tell(address, MessageKind.consensus, body)
+        self.links.notify(address, MessageKind.consensus, body)
 
     def address_of(self, replica: ReplicaId) -> Address | None:
         """Return a member's address, or the one that a stranger told."""
--- a/godwitshunt/membership/region_gossip.py
+++ b/godwitshunt/membership/region_gossip.py
@@ -191,7 +191,7 @@
             draining=True if self.draining else None,
             batch=batch,
         )
-        self.links.tell(
+        self.links.notify(
             self.peers.local_peers[peer],
             MessageKind.upstream_gossip,
             encode(message),
--- a/godwitshunt/membership/tests/network.py
+++ b/godwitshunt/membership/tests/network.py
@@ -90,7 +90,7 @@
     def subscribe(self, kind, handler) -> None:
         self.handlers[kind] = handler
 
-    def tell(self, address, kind, body) -> None:
+    def notify(self, address, kind, body) -> None:
         self.send(address, kind, body, None)
 
     async def call(self, address, kind, body, timeout_s):
--- a/godwitshunt/peer/links.py
+++ b/godwitshunt/peer/links.py
@@ -93,7 +93,7 @@
         """
         return await self.link(address).call(kind, body, timeout_s)
 
-    def tell(self, address: Address, kind: MessageKind, body: bytes) -> None:
+    def notify(self, address: Address, kind: MessageKind, body: bytes) -> None:
         """Send a message without reply; it may be lost."""
         envelope = Envelope(kind=kind, call=0, reply=False, body=body)
         if not self.link(address).put(envelope):
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -132,4 +132,4 @@
         report = self.reports.make(
             self.watch.contacts.for_control(str(picker)).source
         )
-        self.links.tell(picker, MessageKind.load_report, encode(report))
+        self.links.notify(picker, MessageKind.load_report, encode(report))
--- a/godwitshunt/placement/reports.py
+++ b/godwitshunt/placement/reports.py
@@ -124,4 +124,4 @@
             return
         body = encode_report(self.upstreams())
         for address in settings.control:
-            self.links.tell(address, MessageKind.placement_report, body)
+            self.links.notify(address, MessageKind.placement_report, body)
--- a/godwitshunt/registry/tests/deployment.py
+++ b/godwitshunt/registry/tests/deployment.py
@@ -98,7 +98,7 @@
             return Err(OutcomeUnknown(str(target), 'cut'))
         return Ok(reply)
 
-    def tell(self, target: Address, kind: int, body: bytes) -> None:
+    def notify(self, target: Address, kind: int, body: bytes) -> None:
         """Deliver a message that has no reply."""
         handler = self.network.handlers.get(target, {}).get(kind)
         if handler is None or not self.network.delivers(self.own, target):
--- a/godwitshunt/routing/limits_task.py
+++ b/godwitshunt/routing/limits_task.py
@@ -102,7 +102,7 @@
             if vm is not None:
                 news = self.limits.compose_update(name, now)
                 body = encode(update_to_wire(news))
-                self.links.tell(vm.peer, MessageKind.limit_gossip, body)
+                self.links.notify(vm.peer, MessageKind.limit_gossip, body)
 
     async def receive(self, sender: str, body: bytes) -> None:
         """Take a peer's news; only admitted VMs are listened to."""
--- a/godwitshunt/routing/tests/test_limits.py
+++ b/godwitshunt/routing/tests/test_limits.py
@@ -251,7 +251,7 @@
     def subscribe(self, kind, handler):
         self.handlers[kind] = handler
 
-    def tell(self, address, kind, body):
+    def notify(self, address, kind, body):
         self.sent.append((address, kind, body))
 
 
--- a/tests/test_control_frozen.py
+++ b/tests/test_control_frozen.py
@@ -100,7 +100,7 @@
     while True:
         for peer in control.peer:
             kind = MessageKind.placement_report
-            entry.tell(peer, kind, encode_report([view]))
+            entry.notify(peer, kind, encode_report([view]))
         await asyncio.sleep(0.2)
 
 
