--- a/godwitshunt/tracing/__init__.py
+++ b/godwitshunt/tracing/__init__.py
@@ -3,7 +3,7 @@
 from godwitshunt.tracing.lines import LogLine, read_logs
 from godwitshunt.tracing.losses import LossRow, tabulate
 from godwitshunt.tracing.stages import StageTimes, tabulate_stages
-from godwitshunt.tracing.story import RequestStory, tell
+from godwitshunt.tracing.timeline import RequestStory, tell
 
 __all__ = [
     'LogLine',
--- a/godwitshunt/tracing/losses.py
+++ b/godwitshunt/tracing/losses.py
@@ -11,7 +11,7 @@
 from math import floor
 
 from godwitshunt.tracing.lines import LogLine
-from godwitshunt.tracing.story import ENDED, REFUSED, places_of
+from godwitshunt.tracing.timeline import ENDED, REFUSED, places_of
 
 WINDOW_S = 2.0
 IN_TIME = 'in time'
--- a/godwitshunt/tracing/stages.py
+++ b/godwitshunt/tracing/stages.py
@@ -6,7 +6,7 @@
 
 from godwitshunt.tracing.lines import LogLine
 from godwitshunt.tracing.losses import is_of_caller
-from godwitshunt.tracing.story import ENDED
+from godwitshunt.tracing.timeline import ENDED
 
 # In the order in which a request reaches them.
 STAGES = ('admitted', 'placed', 'connected', 'sent', 'heard')
--- a/godwitshunt/tracing/tests/test_losses.py
+++ b/godwitshunt/tracing/tests/test_losses.py
@@ -4,7 +4,7 @@
 
 from godwitshunt.tracing.lines import LogLine
 from godwitshunt.tracing.losses import IN_TIME, reason_of_loss, tabulate
-from godwitshunt.tracing.story import ENDED, REFUSED
+from godwitshunt.tracing.timeline import ENDED, REFUSED
 
 SOUND = {
     'request': 'r-1',
--- a/godwitshunt/tracing/tests/test_stages.py
+++ b/godwitshunt/tracing/tests/test_stages.py
@@ -2,7 +2,7 @@
 
 from godwitshunt.tracing import LogLine, tabulate_stages
 from godwitshunt.tracing.stages import percentile
-from godwitshunt.tracing.story import ENDED
+from godwitshunt.tracing.timeline import ENDED
 
 REACHED = {
     'admitted': 1.0,
