--- a/godwitshunt/programs/tracing.py
+++ b/godwitshunt/programs/tracing.py
@@ -8,10 +8,10 @@
 from godwitshunt.tracing import (
     LossRow,
     StageTimes,
+    build_timeline,
     read_logs,
-    tabulate,
+    tabulate_losses,
     tabulate_stages,
-    tell,
 )
 from godwitshunt.tracing.losses import WINDOW_S
 from godwitshunt.tracing.stages import percentile
@@ -34,14 +34,14 @@
         each line begins with its process's name.
     """
     try:
-        story = tell(request, read_logs(files))
+        timeline = build_timeline(request, read_logs(files))
     except OSError as unread:
         raise unreadable(unread) from None
-    if story is None:
+    if timeline is None:
         leave(ExitCode.invalid, f'no line names request {request}')
-    for line in (*story.lines, *story.context):
+    for line in (*timeline.lines, *timeline.context):
         print(f'{line.at_s:.3f} {line.source} {json.dumps(line.fields)}')
-    print(story.sentence)
+    print(timeline.sentence)
 
 
 def losses(*files: Path) -> None:
@@ -54,7 +54,7 @@
         each line begins with its process's name.
     """
     try:
-        rows = tabulate(read_logs(files))
+        rows = tabulate_losses(read_logs(files))
     except OSError as unread:
         raise unreadable(unread) from None
     for reason, row in rows.items():
--- a/godwitshunt/tracing/__init__.py
+++ b/godwitshunt/tracing/__init__.py
@@ -1,17 +1,17 @@
 """From a request's id to its cause: one request's lines of many logs."""
 
 from godwitshunt.tracing.lines import LogLine, read_logs
-from godwitshunt.tracing.losses import LossRow, tabulate
+from godwitshunt.tracing.losses import LossRow, tabulate_losses
 from godwitshunt.tracing.stages import StageTimes, tabulate_stages
-from godwitshunt.tracing.timeline import RequestStory, tell
+from godwitshunt.tracing.timeline import RequestTimeline, build_timeline
 
 __all__ = [
     'LogLine',
     'LossRow',
-    'RequestStory',
+    'RequestTimeline',
     'StageTimes',
     'read_logs',
-    'tabulate',
+    'tabulate_losses',
     'tabulate_stages',
-    'tell',
+    'build_timeline',
 ]
--- a/godwitshunt/tracing/losses.py
+++ b/godwitshunt/tracing/losses.py
@@ -44,7 +44,7 @@
         self.example = self.example or str(line.fields.get('request', ''))
 
 
-def tabulate(logs: Iterable[LogLine]) -> dict[str, LossRow]:
+def tabulate_losses(logs: Iterable[LogLine]) -> dict[str, LossRow]:
     """Return a row for each reason, the most requests first.
 
     Requests that ended in time have a row, too, so that shares can be taken.
--- a/godwitshunt/tracing/tests/test_losses.py
+++ b/godwitshunt/tracing/tests/test_losses.py
@@ -3,7 +3,7 @@
 import pytest
 
 from godwitshunt.tracing.lines import LogLine
-from godwitshunt.tracing.losses import IN_TIME, reason_of_loss, tabulate
+from godwitshunt.tracing.losses import IN_TIME, reason_of_loss, tabulate_losses
 from godwitshunt.tracing.timeline import ENDED, REFUSED
 
 SOUND = {
@@ -56,7 +56,7 @@
 
 def test_requests_count_once_and_by_their_moment():
     """A request that was handed over has a line of two VMs."""
-    rows = tabulate(
+    rows = tabulate_losses(
         [
             line(10.0),
             line(10.5, handed_over=True, first_s=3.0),
--- a/godwitshunt/tracing/tests/test_story.py
+++ b/godwitshunt/tracing/tests/test_story.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitshunt.tracing import LogLine, read_logs, tell
+from godwitshunt.tracing import LogLine, build_timeline, read_logs
 
 ID = '9c41d07be2a35f68'
 
@@ -79,15 +79,15 @@
 )
 def test_a_request_is_explained_in_a_sentence(fields, sentence):
     """Someone on call has an id, and wants to know why it ended so."""
-    assert tell(ID, [ended(**fields)]).sentence == sentence
+    assert build_timeline(ID, [ended(**fields)]).sentence == sentence
 
 
 def test_the_vm_that_took_the_request_comes_first():
     """The VM that it was handed over to wrote its line earlier."""
     near = ended('near', 100.2, choices=['b/far of i-1@b=0.1s'])
     far = ended('far', 100.1, handed_over=True)
-    story = tell(ID, [far, near])
-    assert [line.source for line in story.lines] == ['near', 'far']
+    timeline = build_timeline(ID, [far, near])
+    assert [line.source for line in timeline.lines] == ['near', 'far']
 
 
 def test_what_the_same_processes_believed_then_is_shown():
@@ -99,13 +99,13 @@
         context('registry:control_lost', source='other'),
         context('ingress:started'),
     ]
-    story = tell(ID, lines)
-    assert [line.at_s for line in story.context] == [98.0]
+    timeline = build_timeline(ID, lines)
+    assert [line.at_s for line in timeline.context] == [98.0]
 
 
 def test_an_unknown_request_has_no_story():
     """The id was mistyped, or its line was sampled out."""
-    assert tell('other', [ended()]) is None
+    assert build_timeline('other', [ended()]) is None
 
 
 def test_logs_are_read_whatever_stands_before_their_lines(tmp_path):
@@ -118,5 +118,5 @@
     mixed.write_text(f'1.5 near {json.dumps(line)}\n{{"torn": \nTraceback\n')
     own = tmp_path / 'far.log'
     own.write_text(json.dumps({**line, 'handed_over': True}))
-    story = tell(ID, read_logs([mixed, own]))
-    assert [one.source for one in story.lines] == ['near', 'far']
+    timeline = build_timeline(ID, read_logs([mixed, own]))
+    assert [one.source for one in timeline.lines] == ['near', 'far']
--- a/godwitshunt/tracing/timeline.py
+++ b/godwitshunt/tracing/timeline.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class RequestStory:
+class RequestTimeline:
     """One request's lines, in causal order.
 
     Parameters
@@ -50,7 +50,9 @@
     sentence: str
 
 
-def tell(request: str, logs: Iterable[LogLine]) -> RequestStory | None:
+def build_timeline(
+    request: str, logs: Iterable[LogLine]
+) -> RequestTimeline | None:
     """Return the story of a request; None where no line names it."""
     listed = list(logs)
     lines = sorted(
@@ -70,7 +72,7 @@
         (one for one in listed if one.kind in CONTEXT and is_near(one, spans)),
         key=lambda one: one.at_s,
     )
-    return RequestStory(
+    return RequestTimeline(
         tuple(lines),
         tuple(context),
         ' '.join(explain(one) for one in lines),
--- a/tests/test_platform_crashes.py
+++ b/tests/test_platform_crashes.py
@@ -5,7 +5,7 @@
 import pytest
 import pytest_asyncio
 
-from godwitshunt.tracing import read_logs, tell
+from godwitshunt.tracing import build_timeline, read_logs
 from tests.crashing_server import (
     LETHAL,
     CrashingServer,
@@ -97,10 +97,12 @@
     world, _ = played
     attempt, _ = await ask(NORTH, '/once/x', body=LETHAL)
     await until(lambda: is_logged(world, attempt), 3)
-    story = tell(attempt, read_logs(tuple(world.folder.glob('*.log'))))
+    timeline = build_timeline(
+        attempt, read_logs(tuple(world.folder.glob('*.log')))
+    )
     ended = [one.ended_s for one in world.servers.values()]
     assert sum(map(len, ended)) >= ENDS_KNOWN_BY
-    assert 'quarantined: lost to ' in story.sentence
+    assert 'quarantined: lost to ' in timeline.sentence
     changes = world.logged(CONTROL_HOSTS[0], 'quarantine:standing_changed')
     assert changes[-1]['now'] == 'quarantined'
     assert len(changes[-1]['losses']) >= ENDS_KNOWN_BY
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -8,7 +8,7 @@
 import pytest
 import pytest_asyncio
 
-from godwitshunt.tracing import read_logs, tell
+from godwitshunt.tracing import build_timeline, read_logs
 from tests.platform_client import FRONT, HOST, ask, call, send
 from tests.platform_documents import (
     CONTROL_HOSTS,
@@ -386,9 +386,9 @@
     assert line['attempts'][0].endswith(':Answered')
     assert world.servers['north-app'].instance in line['choices'][0]
     logs = tuple(world.folder.glob('*.log'))
-    story = tell(attempt, read_logs(logs))
+    timeline = build_timeline(attempt, read_logs(logs))
     instance = world.servers['north-app'].instance
-    assert f'tried {instance} (Answered); answered 200' in story.sentence
+    assert f'tried {instance} (Answered); answered 200' in timeline.sentence
 
 
 async def is_logged(world, attempt):
