--- a/godwitshunt/programs/tracing.py
+++ b/godwitshunt/programs/tracing.py
@@ -41,7 +41,7 @@
         leave(ExitCode.invalid, f'no line names request {request}')
     for line in (*timeline.lines, *timeline.context):
         print(f'{line.at_s:.3f} {line.source} {json.dumps(line.fields)}')
-    print(timeline.sentence)
+    print(timeline.summary)
 
 
 def losses(*files: Path) -> None:
--- a/godwitshunt/tracing/tests/test_story.py
+++ b/godwitshunt/tracing/tests/test_story.py
@@ -79,7 +79,7 @@
 )
 def test_a_request_is_explained_in_a_sentence(fields, sentence):
     """Someone on call has an id, and wants to know why it ended so."""
-    assert build_timeline(ID, [ended(**fields)]).sentence == sentence
+    assert build_timeline(ID, [ended(**fields)]).summary == sentence
 
 
 def test_the_vm_that_took_the_request_comes_first():
--- a/godwitshunt/tracing/timeline.py
+++ b/godwitshunt/tracing/timeline.py
@@ -47,7 +47,7 @@
 
     lines: tuple[LogLine, ...]
     context: tuple[LogLine, ...]
-    sentence: str
+    summary: str
 
 
 def build_timeline(
--- a/tests/test_platform_crashes.py
+++ b/tests/test_platform_crashes.py
@@ -102,7 +102,7 @@
     )
     ended = [one.ended_s for one in world.servers.values()]
     assert sum(map(len, ended)) >= ENDS_KNOWN_BY
-    assert 'quarantined: lost to ' in timeline.sentence
+    assert 'quarantined: lost to ' in timeline.summary
     changes = world.logged(CONTROL_HOSTS[0], 'quarantine:standing_changed')
     assert changes[-1]['now'] == 'quarantined'
     assert len(changes[-1]['losses']) >= ENDS_KNOWN_BY
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -388,7 +388,7 @@
     logs = tuple(world.folder.glob('*.log'))
     timeline = build_timeline(attempt, read_logs(logs))
     instance = world.servers['north-app'].instance
-    assert f'tried {instance} (Answered); answered 200' in timeline.sentence
+    assert f'tried {instance} (Answered); answered 200' in timeline.summary
 
 
 async def is_logged(world, attempt):
