--- a/godwitshunt/placement/task.py
+++ b/godwitshunt/placement/task.py
@@ -1,4 +1,4 @@
-"""Sends committed orders to upstreams, where this replica leads."""
+"""Sending of committed orders to upstreams by the leading replica."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -34,9 +34,9 @@
     begin_sending,
     due_orders,
     end_sending,
-    ending_of,
+    ending_from_status,
     may_send,
-    note_leadership,
+    record_leadership,
 )
 from godwitshunt.placement.reports import decode_report
 from godwitshunt.settings import Address, ControlSettings
@@ -44,7 +44,7 @@
 from godwitshunt.timer import Subscription, Timer
 
 TICK_S = 0.1
-UPSTREAM_SILENT_S = 30.0
+UPSTREAM_EXPIRY_S = 30.0
 FENCING_HEADER = 'godwitshunt-fencing'
 
 CallUpstream = Callable[
@@ -60,7 +60,7 @@
     Parameters
     ----------
     wait_s : float
-        Seconds until it would have them.
+        Seconds until it has them.
     """
 
     wait_s: float
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class BurstExceeded:
-    """The order needs more units than the weight store ever gives at once."""
+    """The order needs more units than the weight store's burst."""
 
     units: int
     burst: float
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class UpstreamUnknown:
-    """No entry VM reported an upstream of this name lately."""
+    """No entry VM has recently reported an upstream of this name."""
 
     upstream: str
 
@@ -88,22 +88,22 @@
 
 @dataclass(frozen=True)
 class PlacementOptions:
-    """What placement is told by settings.
+    """Options of placement from the settings.
 
     Parameters
     ----------
-    old_lease_s : float
-        Longest lease of a leader before this one, in seconds.
+    previous_lease_s : float
+        Maximum lease of a previous leader in seconds.
     bucket : BucketOptions
-        What the weight store allows.
+        Limits of the weight store.
     """
 
-    old_lease_s: float
+    previous_lease_s: float
     bucket: BucketOptions
 
 
 class PlacementTask:
-    """Gives orders fencing numbers through the log, then sends them.
+    """Commits orders with fencing numbers to the log, then sends them.
 
     Parameters
     ----------
@@ -112,13 +112,13 @@
     service : ConfigurationService
         Commits commands and holds the control state.
     links : PeerLinks
-        Bring the reports of entry VMs.
+        Deliver the reports of entry VMs.
     timer : Timer
-        Gives the period.
+        Provides the time and the period.
     metrics : Metrics
-        Counts orders by ending.
+        Counts sent orders by result.
     call : callable
-        Sends one HTTP call to an upstream.
+        Sends one HTTP request to an upstream.
     """
 
     def __init__(
@@ -138,9 +138,9 @@
         self.call = call
         self.placement = PlacementState()
         self.bucket = WeightBucket.empty(options.bucket, 0, 0)
-        self.reserved = 0
+        self.reserved_units = 0
         self.upstreams: dict[str, KnownUpstream] = {}
-        self.reported_at: dict[str, float] = {}
+        self.reported_s: dict[str, float] = {}
         self.background = BackgroundTasks()
         self.subscription: Subscription | None = None
 
@@ -153,7 +153,7 @@
         timer: Timer,
         metrics: Metrics,
     ) -> Self:
-        """Make the task of a control replica."""
+        """Return the task of a control replica."""
         bucket = BucketOptions(
             settings.weight_store_units_per_s,
             settings.weight_store_burst,
@@ -162,48 +162,48 @@
         return cls(options, service, links, timer, metrics)
 
     def start(self) -> None:
-        """Take reports and begin to send what is due."""
-        self.links.subscribe(MessageKind.placement_report, self.on_report)
+        """Start to receive reports and to send orders that are due."""
+        self.links.subscribe(MessageKind.placement_report, self.handle_report)
         self.subscription = self.timer.every(TICK_S, self.tick)
 
     async def close(self) -> None:
-        """Send no more; orders on their way are given up."""
+        """Stop sending; cancel orders in transit."""
         if self.subscription is not None:
             self.subscription.cancel()
         await self.background.close()
 
-    async def on_report(self, sender: str, body: bytes) -> None:
-        """Note the upstreams of a region."""
+    async def handle_report(self, sender: str, body: bytes) -> None:
+        """Record the upstreams of a report."""
         now = self.timer.now()
         for upstream in decode_report(body):
             self.upstreams[upstream.name] = upstream
-            self.reported_at[upstream.name] = now
+            self.reported_s[upstream.name] = now
 
-    def look(self) -> None:
-        """Note who leads, what the weight store has, and who is silent."""
+    def refresh(self) -> None:
+        """Update the leadership and the bucket, and expire old reports."""
         now = self.timer.now()
-        taken = self.service.state.weight_units
-        before = self.placement.reign
+        acquired = self.service.state.weight_units
+        previous = self.placement.tenure
         leadership = self.service.log.leadership()
-        self.placement = note_leadership(self.placement, leadership, now)
-        if self.placement.reign == before:
-            self.bucket = self.bucket.observe(taken, now)
+        self.placement = record_leadership(self.placement, leadership, now)
+        if self.placement.tenure == previous:
+            self.bucket = self.bucket.observe(acquired, now)
         else:
-            self.bucket = WeightBucket.empty(self.options.bucket, taken, now)
-        for name, reported_at in tuple(self.reported_at.items()):
-            if now - reported_at > UPSTREAM_SILENT_S:
-                self.reported_at.pop(name)
+            self.bucket = WeightBucket.empty(self.options.bucket, acquired, now)
+        for name, reported_s in tuple(self.reported_s.items()):
+            if now - reported_s > UPSTREAM_EXPIRY_S:
+                self.reported_s.pop(name)
                 self.upstreams.pop(name)
 
     def tick(self) -> None:
-        """Begin to send what is due."""
-        self.look()
+        """Start sending the orders that are due."""
+        self.refresh()
         due = due_orders(
             self.placement,
             self.service.state,
             self.service.log.leadership(),
             self.upstreams,
-            self.options.old_lease_s,
+            self.options.previous_lease_s,
             self.timer.now(),
         )
         for send in tuple(due):
@@ -222,9 +222,9 @@
         -------
         Result
             `OrderIssued` or `OrderConflict`; no order is committed without a
-            live quorum lease or without units of the weight store.
+            valid quorum lease or without units of the weight store.
         """
-        self.look()
+        self.refresh()
         leadership = self.service.log.leadership()
         if not leadership.is_leader:
             return Err(NotLeader(leadership.name))
@@ -237,34 +237,34 @@
         units = order.weight_units
         if units > self.options.bucket.burst:
             return Err(BurstExceeded(units, self.options.bucket.burst))
-        wait_s = self.bucket.wait_s(units + self.reserved) if units else 0
+        wait_s = self.bucket.wait_s(units + self.reserved_units) if units else 0
         if wait_s > 0:
             return Err(WeightStoreBusy(wait_s))
-        self.reserved += units
+        self.reserved_units += units
         try:
             return await self.service.propose(order)
         finally:
-            self.reserved -= units
+            self.reserved_units -= units
 
     def is_permitted(self, send: SendOrder) -> bool:
-        """Tell, as the last step before the first byte, whether to send.
+        """Return whether to send, as the last check before the first byte.
 
-        This process may have been frozen since it decided; by now another
-        leader may have sent a newer order. Monotonic time went on meanwhile,
-        so the lease shows it.
+        If this process was suspended after its decision, another leader may
+        have sent a newer order by now. Monotonic time advances meanwhile, so
+        the lease has expired in that case.
         """
         leadership = self.service.log.leadership()
         now = self.timer.now()
         return may_send(
-            note_leadership(self.placement, leadership, now),
+            record_leadership(self.placement, leadership, now),
             leadership,
             send.upstream,
-            self.options.old_lease_s,
+            self.options.previous_lease_s,
             now,
         )
 
     async def send(self, send: SendOrder) -> None:
-        """Send one order and commit what the upstream answered."""
+        """Send one order and commit its result."""
         call = order_call(send)
         answer = await self.call(
             send.upstream.address,
@@ -273,7 +273,7 @@
         )
         ending = OrderEnding.open
         if isinstance(answer, Ok):
-            ending = ending_of(answer.ok_value.status)
+            ending = ending_from_status(answer.ok_value.status)
         self.metrics.count('placement_orders_sent_total', ending=ending.value)
         answered = ending is not OrderEnding.open
         if answered:
@@ -293,8 +293,8 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """Return orders and the weight store's level as JSON fields."""
-        self.look()
+        """Return open orders and the weight store's level as JSON fields."""
+        self.refresh()
         orders = self.service.state.orders.values()
         return {
             'open_orders': [
@@ -309,7 +309,7 @@
 
 
 def order_call(send: SendOrder) -> HttpCall:
-    """Return the HTTP call that carries an order."""
+    """Return the HTTP request for an order."""
     order = send.order
     body = {
         'order': order.order,
--- a/godwitshunt/routing/policy.py
+++ b/godwitshunt/routing/policy.py
@@ -1,9 +1,9 @@
-"""Where a request goes: a pure function of what the VM knows.
+"""Routing decisions as a pure function of the VM's view.
 
-The score of a place is the objective's weighted sum of the predicted time to
-the first token, the price, and a penalty for leaving the home region. Rules
-that must always hold (residency, isolation, one hop) are checked first and
-never weighed.
+The score of a destination is the objective's weighted sum of the predicted
+time to the first token, the price, and a penalty for leaving the home region.
+Hard rules (residency, isolation, at most one hop between regions) are checked
+first and are never traded against the score.
 """
 
 from dataclasses import dataclass
@@ -27,36 +27,39 @@
 )
 from godwitshunt.routing.prediction import RequestWork
 from godwitshunt.routing.regions import (
-    Target,
-    away_penalty,
-    came_back,
-    crossed_regions,
+    RemoteRegion,
+    already_forwarded,
     forward_targets,
-    least_away,
+    has_free_slot,
+    has_loop,
     make_forward,
+    min_remote_score,
     price_of,
-    takes_now,
+    remote_penalty,
 )
 
 SHORTEST_WAIT_S = 0.05
 LONGEST_WAIT_S = 0.5
-WAIT_GROWTH = 0.1
+# The delay between decisions is this share of the time waited so far.
+WAIT_GROWTH_RATIO = 0.1
 
-# What was derived from the last view; it holds nothing that the view given to
-# a decision does not say, so decisions stay functions of their inputs.
-INDEX = ViewIndex()
+# Cache derived from the last view. It only depends on the view passed to each
+# decision, so decisions remain functions of their inputs.
+VIEW_INDEX = ViewIndex()
 SHORTEST_RETRY_S = 1.0
 LONGEST_RETRY_S = 30.0
 
 
 @dataclass(frozen=True)
-class Local:
+class LocalCandidate:
     """An upstream of the own region with its score; lower is better.
 
     Parameters
     ----------
     predicted_s, needed_s : float
-        Seconds to the first token and to the end of the answer.
+        Predicted seconds to the first token and to the end of the answer.
+    uncached_tokens : int
+        Prompt tokens that the upstream likely has to prefill.
     """
 
     upstream: UpstreamView
@@ -72,18 +75,19 @@
     objective: Objective,
     random: Random,
 ) -> Decision:
-    """Decide where a request goes.
+    """Decide where to send a request.
 
     Parameters
     ----------
     view : RegionView
-        Own upstreams in full, other regions as summaries.
+        Upstreams of the own region, and summaries of the others.
     request : RouteRequest
-        What is asked.
+        The request to route.
     objective : Objective
         Weights from the manifest.
     random : random.Random
-        The only source of chance: equal inputs and seeds decide equally.
+        The only source of randomness: equal inputs and seeds give equal
+        decisions.
 
     Returns
     -------
@@ -93,41 +97,41 @@
     refusal = permanent_refusal(view, request)
     if refusal is not None:
         return refusal
-    group = INDEX.group(view, request.service, request.model)
+    group = VIEW_INDEX.group(view, request.service, request.model)
     local = best_local(view, group, request, objective, random)
-    here = serve_in_time(local, request)
+    local_decision = serve_in_time(local, request)
     speed = group.prefill_tokens_per_s
-    if here:
-        least = least_away(view, request, objective, speed)
-        if local.best.score <= least:
-            return here
-    others = []
+    if local_decision:
+        best_remote_score = min_remote_score(view, request, objective, speed)
+        if local.best.score <= best_remote_score:
+            return local_decision
+    remote = []
     if not view.isolated:
-        others = forward_targets(view, request, objective, speed)
-    return decide(request, local, others, objective, random)
+        remote = forward_targets(view, request, objective, speed)
+    return serve_or_forward(request, local, remote, objective, random)
 
 
 def permanent_refusal(view: RegionView, request: RouteRequest) -> Refuse | None:
-    """Return a refusal that no free capacity could change."""
-    if came_back(view, request):
+    """Return a refusal that does not depend on capacity, or None."""
+    if has_loop(view, request):
         return Refuse(RefusalReason.loop)
     if not request.allowed:
         return Refuse(RefusalReason.residency)
     if view.isolated:
         return isolated_refusal(view, request)
-    here = view.region in request.allowed
-    if not here and crossed_regions(view, request):
+    is_allowed = view.region in request.allowed
+    if not is_allowed and already_forwarded(view, request):
         return Refuse(RefusalReason.residency)
     return None
 
 
 def isolated_refusal(view: RegionView, request: RouteRequest) -> Refuse | None:
-    """Return a refusal where an isolated VM must not serve.
+    """Return a refusal if an isolated VM must not serve a request.
 
-    A newer manifest may have taken this region away from a restricted caller
-    of another home, and an isolated VM would not have heard of it. Callers
-    that are homed here keep being served: their rule is accepted only after
-    this region's VMs have acknowledged it.
+    A newer manifest may have removed this region from the rule of a restricted
+    caller with another home, and an isolated VM would not have received it.
+    Callers whose home is this region are still served: a change of their rule
+    is accepted only after this region's VMs have acknowledged it.
     """
     bound_elsewhere = request.restricted and request.home != view.region
     if bound_elsewhere or view.region not in request.allowed:
@@ -137,17 +141,17 @@
 
 @dataclass(frozen=True)
 class LocalChoice:
-    """What the own region offers.
+    """Best candidate of the own region.
 
     Parameters
     ----------
-    best : Local or None
+    best : LocalCandidate or None
         The best upstream with a slot for the class.
     served : bool
-        Whether the region has any upstream for the request.
+        Whether the region has any upstream for the request, free or not.
     """
 
-    best: Local | None
+    best: LocalCandidate | None
     served: bool
 
 
@@ -158,12 +162,12 @@
     objective: Objective,
     random: Random,
 ) -> LocalChoice:
-    """Return the best of a few upstreams of the own region."""
+    """Return the best of a few sampled upstreams of the own region."""
     if view.region not in request.allowed:
         return LocalChoice(None, served=False)
     usable = usable_group(group, request)
     if not usable.members:
-        served = not request.excluded.issuperset(group.places)
+        served = not request.excluded.issuperset(group.positions)
         return LocalChoice(None, served=served)
     work = RequestWork(
         request.prompt_tokens,
@@ -174,11 +178,11 @@
         score_local(candidate, work, request, objective)
         for candidate in candidates(usable, request, random)
     ]
-    return LocalChoice(min(scored, key=local_order), served=True)
+    return LocalChoice(min(scored, key=preference_key), served=True)
 
 
-def local_order(local: Local) -> tuple[float, str]:
-    """Return the order of preference; names settle equal scores."""
+def preference_key(local: LocalCandidate) -> tuple[float, str]:
+    """Return the sort key of preference; names break ties."""
     return (local.score, local.upstream.name)
 
 
@@ -187,57 +191,59 @@
     work: RequestWork,
     request: RouteRequest,
     objective: Objective,
-) -> Local:
+) -> LocalCandidate:
     """Return an upstream with its score."""
     upstream = candidate.upstream
     cached = candidate.cached
     predicted_s = work.first_token_s(upstream, cached)
     score = (
-        objective.latency * (predicted_s + work.miss_s(upstream, cached))
+        objective.latency
+        * (predicted_s + work.cache_miss_cost_s(upstream, cached))
         + objective.cost * price_of(upstream.price, request)
-        + away_penalty(upstream.region, request, objective)
+        + remote_penalty(upstream.region, request, objective)
     )
-    finish_s = work.finish_s(upstream.decode_tokens_per_s)
-    return Local(
+    decode_reserve_s = work.decode_reserve_s(upstream.decode_tokens_per_s)
+    return LocalCandidate(
         upstream,
         score,
         predicted_s,
-        predicted_s + finish_s,
+        predicted_s + decode_reserve_s,
         round(work.uncached_tokens(cached)),
     )
 
 
-def decide(
+def serve_or_forward(
     request: RouteRequest,
     local: LocalChoice,
-    others: list[Target],
+    remote: list[RemoteRegion],
     objective: Objective,
     random: Random,
 ) -> Decision:
-    """Return the better of serving here and forwarding, or the alternative."""
-    here = serve_in_time(local, request)
-    staying = staying_score(local, here, request, objective)
-    for target in others:
-        if target.score < staying and takes_now(target, request):
+    """Serve here or forward, whichever is better; else wait or refuse."""
+    local_decision = serve_in_time(local, request)
+    to_beat = score_to_beat(local, local_decision, request, objective)
+    for target in remote:
+        if target.score < to_beat and has_free_slot(target, request):
             decision = make_forward(target, request, random)
             if decision is not None:
                 return decision
-    return here or without_place(request, local, others, random)
+    return local_decision or wait_or_refuse(request, local, remote, random)
 
 
-def staying_score(
+def score_to_beat(
     local: LocalChoice,
-    here: Serve | None,
+    local_decision: Serve | None,
     request: RouteRequest,
     objective: Objective,
 ) -> float:
-    """Return what another region's score has to be below.
+    """Return the score that another region has to be below.
 
-    A request that waits for a slot of its class is taken to wait as long
-    again as it has waited. So long work stays at home for as long as staying
-    is worth, and may leave it once half of its time has passed.
+    A request that waits for a slot of its class is assumed to wait as long
+    again as it has waited so far. So long requests stay in the home region
+    while the penalty outweighs the wait, and may leave it in any case once
+    half of their time has passed.
     """
-    if here is not None:
+    if local_decision is not None:
         return local.best.score
     waits = local.served and local.best is None
     if waits and request.waited_s < request.deadline_s:
@@ -246,25 +252,25 @@
 
 
 def serve_in_time(local: LocalChoice, request: RouteRequest) -> Serve | None:
-    """Return the best upstream here where it is predicted to be in time."""
+    """Return the best local upstream if it is predicted to be in time."""
     best = local.best
     if best is None or best.needed_s > request.deadline_s:
         return None
     return Serve(best.upstream, best.predicted_s, best.uncached_tokens)
 
 
-def without_place(
+def wait_or_refuse(
     request: RouteRequest,
     local: LocalChoice,
-    others: list[Target],
+    remote: list[RemoteRegion],
     random: Random,
 ) -> Decision:
-    """Return a wait or a refusal where nothing can take a request now."""
+    """Return a wait or a refusal for a request that nothing can serve now."""
     if local.served and local.best is None:
-        wait_s = pause_s(request, random)
+        wait_s = decision_delay_s(request, random)
         if wait_s < request.deadline_s:
             return Wait(wait_s)
-    if not local.served and not others:
+    if not local.served and not remote:
         return Refuse(RefusalReason.no_upstream, SHORTEST_RETRY_S)
     late_s = LONGEST_RETRY_S
     if local.best is not None:
@@ -272,22 +278,22 @@
     return Refuse(RefusalReason.overloaded, retry_after_s(late_s, random))
 
 
-def pause_s(request: RouteRequest, random: Random) -> float:
-    """Return the time to the next decision, longer for who waits longer.
+def decision_delay_s(request: RouteRequest, random: Random) -> float:
+    """Return the delay to the next decision, which grows with the wait.
 
-    A hundred long jobs that all asked twenty times a second would take the VM
-    more time than its requests.
+    A hundred queued jobs that were each decided twenty times a second would
+    cost the VM more time than its requests.
     """
-    grown_s = WAIT_GROWTH * request.waited_s
+    grown_s = WAIT_GROWTH_RATIO * request.waited_s
     bounded_s = min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, grown_s))
     return bounded_s * random.uniform(0.5, 1.5)
 
 
 def retry_after_s(late_s: float, random: Random) -> float:
-    """Return when to come back, spread so that callers do not return at once.
+    """Return a retry delay in seconds, with jitter.
 
-    Callers refused in one moment that return in one moment would overload the
-    upstreams again, for ever; the spread breaks that rhythm.
+    Without jitter, callers that are refused together would retry together and
+    overload the upstreams again.
     """
     bounded = min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, late_s))
     return bounded * random.uniform(1.0, 2.0)
