--- a/godwitshunt/ingress/lifecycle.py
+++ b/godwitshunt/ingress/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of one request: choose, send, and choose again where allowed."""
+"""Lifecycle of one request: choose, send and retry where allowed."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,9 +13,8 @@
 from godwitshunt.exchange.requests import AnswerWriter
 from godwitshunt.ingress.attempt import ARRIVED_HEADER, QUARANTINED_HEADER
 from godwitshunt.ingress.context import IngressContext
-from godwitshunt.ingress.feedback import place_of
+from godwitshunt.ingress.feedback import target_incarnation
 from godwitshunt.ingress.outcomes import (
-    Again,
     AttemptOutcome,
     BreakOff,
     Deliver,
@@ -24,11 +23,12 @@
     NotRun,
     Progress,
     RefuseWith,
+    Retry,
     Step,
 )
-from godwitshunt.ingress.request_trace import RequestAccount, Stage
+from godwitshunt.ingress.request_trace import RequestTrace, Stage
 from godwitshunt.ingress.requests import RoutedRequest
-from godwitshunt.ingress.sending import MARGIN_S, Sender
+from godwitshunt.ingress.sending import RETURN_MARGIN_S, Sender
 from godwitshunt.picking.choices import (
     Choice,
     ChoiceRequest,
@@ -43,147 +43,162 @@
 from godwitshunt.routing.selection import Demand
 
 RETRY_AFTER_S = 0.3
-# A VM that has just started hears of upstreams and of other regions' VMs by
-# and by; a request that finds none waits for the next news, so often and so
-# long each, rather than come back after its objective.
-NEWS_WAITS = 3
-NEWS_WAIT_S = 0.1
-# A picker that gives places which this VM knows better of is asked so often.
-MOST_QUESTIONS = 3
+# A VM that has started recently learns of upstreams and of other regions' VMs
+# gradually. A request that finds none waits for updates this often and this
+# long; a refused caller would come back after its objective.
+MAX_UPDATE_WAITS = 3
+UPDATE_WAIT_S = 0.1
+# Queries to a picker whose choices this VM knows to be outdated.
+MAX_PICKER_QUERIES = 3
 
 
 @dataclass
-class RequestLife:
+class RequestLifecycle:
     """One request, from its admission to its end.
 
     Parameters
     ----------
     context : IngressContext
-        What every request is served with.
+        Shared state of the entry VM.
     request : RoutedRequest
         The request.
     writer : AnswerWriter
-        Where its answer goes.
+        Writes the answer to the caller.
+    caller_disconnected : bool
+        True where the caller has disconnected.
+    is_charged : bool
+        True while one attempt is charged to the organisation's limit and has
+        not run.
+    is_probe : bool
+        True where the request is tried on probation.
     """
 
     context: IngressContext
     request: RoutedRequest
     writer: AnswerWriter
     retry_after_s: float = RETRY_AFTER_S
-    gone: bool = False
-    is_counted: bool = False
+    caller_disconnected: bool = False
+    is_charged: bool = False
     is_quarantined: bool = False
     is_probe: bool = False
     task: asyncio.Task | None = None
 
     def __post_init__(self) -> None:
         route = self.request.route
-        # The VM that handed it over counts the attempts: with two counts, a
-        # request runs on more upstreams than its route allows.
-        attempts = 1 if self.request.handed_over else route.attempts
+        # The VM that forwarded the request counts the attempts. With two
+        # counts, a request could run on more upstreams than its route allows.
+        attempts = 1 if self.request.is_forwarded else route.attempts
         self.progress = Progress(
             route.repeatable,
             attempts,
             arrivals=int(self.request.repeat),
         )
-        self.account = RequestAccount(self.request)
+        self.trace = RequestTrace(self.request)
         self.sender = Sender(
             self.context,
             self.request,
             self.writer,
             self.progress,
-            self.account,
+            self.trace,
         )
 
     async def run(self) -> None:
-        """Serve the request; raise where the caller went away."""
+        """Serve the request.
+
+        Raises
+        ------
+        ConnectionResetError
+            Where the caller has disconnected or its answer was broken off.
+        """
         channel = self.writer.channel
         if channel.ended:
             raise ConnectionResetError('the caller is gone')
         self.task = asyncio.current_task()
         now_s = self.context.timer.now()
-        self.account.note_stage(Stage.admitted, now_s)
-        channel.on_lost = self.lose_caller
+        self.trace.record_stage(Stage.admitted, now_s)
+        channel.on_lost = self.cancel_on_disconnect
         try:
-            step = await self.decide()
+            step = await self.run_attempts()
             channel.on_lost = None
-            await self.carry_out(step)
+            await self.send_result(step)
         except asyncio.CancelledError:
-            if not self.gone:
+            if not self.caller_disconnected:
                 raise
             self.task.uncancel()
-            self.close_account('caller gone')
+            self.close_trace('caller gone')
             raise ConnectionResetError('the caller is gone') from None
         finally:
             channel.on_lost = None
 
-    def lose_caller(self) -> None:
-        """Stop work that nobody waits for."""
-        self.gone = True
+    def cancel_on_disconnect(self) -> None:
+        """Cancel the request because its caller has disconnected."""
+        self.caller_disconnected = True
         self.task.cancel()
 
-    async def decide(self) -> Step:
-        """Make attempts until one step ends the request."""
+    async def run_attempts(self) -> Step:
+        """Make attempts until the request is settled or its deadline passes."""
         remaining_s = self.request.remaining_s(self.context.timer.now())
         try:
-            async with asyncio.timeout(max(0.0, remaining_s - MARGIN_S)):
+            async with asyncio.timeout(max(0.0, remaining_s - RETURN_MARGIN_S)):
                 return await self.make_attempts()
         except TimeoutError:
-            under_way = self.sender.under_way
-            return self.progress.pass_deadline(under_way=under_way)
+            in_flight = self.sender.in_flight
+            return self.progress.expire(in_flight=in_flight)
         finally:
             if self.is_probe:
                 self.context.quarantine.end_probe(self.request.fingerprint)
 
     async def make_attempts(self) -> Step:
-        """Choose and send until an attempt settles the request."""
-        step: Step = Again()
-        while isinstance(step, Again):
+        """Make attempts until the request is settled."""
+        step: Step = Retry()
+        while isinstance(step, Retry):
             step = self.quarantine_step() or await self.make_attempt()
         return step
 
     async def make_attempt(self) -> Step:
-        """Choose and send once; return what to do next."""
-        choice = await self.choose_with_news()
-        self.account.note_stage(Stage.placed, self.context.timer.now())
+        """Choose a destination and send once; return the next step."""
+        choice = await self.choose_after_updates()
+        self.trace.record_stage(Stage.placed, self.context.timer.now())
         if isinstance(choice, NoPlace):
             return self.refuse(choice)
         if isinstance(choice, Limited):
             return self.refuse_limited(choice)
-        refusal = self.authority_refusal()
+        refusal = self.authorizer_refusal()
         if refusal is not None:
             return refusal
         outcome = await self.sender.send(choice)
         await self.record_outcome(choice, outcome)
         now_s = self.context.timer.now()
-        return self.progress.take(outcome, self.request.remaining_s(now_s))
+        return self.progress.next_step(outcome, self.request.remaining_s(now_s))
 
     async def record_outcome(
         self,
         choice: SendHere | HandOver,
         outcome: AttemptOutcome,
     ) -> None:
-        """Note what an attempt shows of the request's next one.
+        """Update the state that the next attempt depends on.
 
-        One that was lost before is sent again only once it is known whether
-        its upstream ended: that may be the last end before it is suspected.
+        A request that was lost before is not sent again until it is known
+        whether its upstream crashed: that crash may make it suspected.
         """
-        self.is_counted = isinstance(outcome, NotRun)
+        self.is_charged = isinstance(outcome, NotRun)
         if isinstance(outcome, NotRun) and outcome.is_final:
             self.retry_after_s = self.context.quarantine.length_s
         table = self.context.quarantine.table
         is_lost = isinstance(outcome, Lost)
         if is_lost and table.has_losses(self.request.fingerprint):
-            await self.context.witness.settled(place_of(choice))
+            await self.context.crash_detector.wait_checked(
+                target_incarnation(choice)
+            )
 
     def quarantine_step(self) -> Step | None:
         """Return the last step of a request that must not be sent.
 
-        One that is merely suspected is not sent again by this system: the
-        next upstream that ends would be the third.
+        A suspected request is sent on behalf of its caller but not retried:
+        the next crash would be the third.
         """
         quarantine = self.context.quarantine
-        if not quarantine.knows_length(len(self.request.http.body)):
+        if not quarantine.has_suspected_length(len(self.request.http.body)):
             return None
         fingerprint = self.request.fingerprint
         assessment = quarantine.assessment(fingerprint, is_probe=self.is_probe)
@@ -196,7 +211,7 @@
                 'quarantine_refused_total',
                 service=self.request.service.name,
             )
-            return self.progress.keep_back(assessment.reason)
+            return self.progress.refuse_quarantined(assessment.reason)
         if self.progress.runs:
             self.progress.reasons.append(assessment.reason)
             return self.progress.give_up()
@@ -205,57 +220,59 @@
             quarantine.begin_probe(fingerprint)
         return None
 
-    async def choose_with_news(self) -> Choice:
-        """Return where the request goes, perhaps after the next news."""
+    async def choose_after_updates(self) -> Choice:
+        """Choose a destination, waiting for updates while the VM warms up."""
         choice = await self.choose()
-        for _ in range(NEWS_WAITS):
-            if not self.may_wait_for_news(choice):
+        for _ in range(MAX_UPDATE_WAITS):
+            if not self.may_wait_for_updates(choice):
                 break
-            await asyncio.sleep(NEWS_WAIT_S)
+            await asyncio.sleep(UPDATE_WAIT_S)
             choice = await self.choose()
         return choice
 
-    def may_wait_for_news(self, choice: Choice) -> bool:
-        """Tell whether no upstream is known since the VM is young."""
-        nowhere = isinstance(choice, NoPlace) and not choice.overloaded
-        return nowhere and self.context.watch.is_warming_up
+    def may_wait_for_updates(self, choice: Choice) -> bool:
+        """Tell whether there is no upstream because the VM is warming up."""
+        has_no_destination = (
+            isinstance(choice, NoPlace) and not choice.overloaded
+        )
+        return has_no_destination and self.context.watch.is_warming_up
 
     async def choose(self) -> Choice:
-        """Return where the request goes now, its budgets spent."""
+        """Choose a destination and spend its budgets."""
         while True:
-            choice = await self.ask_picker()
+            choice = await self.query_picker()
             if choice is None:
-                choice = self.choose_alone()
-                self.note_counted(choice)
+                choice = self.choose_locally()
+                self.record_charge(choice)
             age_s = self.context.watch.age_s()
-            self.account.note_choice(choice, age_s)
+            self.trace.record_choice(choice, age_s)
             if isinstance(choice, (NoPlace, Limited)):
                 return choice
-            if not self.may_repeat():
+            if not self.spend_retry():
                 self.progress.reasons.append('the retry budget is spent')
                 return NoPlace(overloaded=True, retry_after_s=RETRY_AFTER_S)
-            if isinstance(choice, HandOver) or self.may_send(choice):
+            if isinstance(choice, HandOver) or self.spend_cold_request(choice):
                 return choice
             self.sender.excluded.add(choice.upstream.announcement.incarnation)
 
-    async def ask_picker(self) -> Choice | None:
+    async def query_picker(self) -> Choice | None:
         """Return the picker's choice; None where this VM must choose.
 
-        A picker may lag behind what this VM knows of upstreams that leave and
-        of the configuration in force; such a place is not used.
+        A picker may lag behind this VM on upstreams that leave and on the
+        active revision. Such a choice is not used.
         """
-        for _ in range(MOST_QUESTIONS):
+        for _ in range(MAX_PICKER_QUERIES):
             choice = await self.context.picker.request_destination(
-                self.question()
+                self.destination_request()
             )
-            self.note_counted(choice)
-            if choice is None or self.is_sound(choice):
+            self.record_charge(choice)
+            if choice is None or self.is_valid_choice(choice):
                 return choice
             self.exclude(choice)
         return None
 
-    def question(self) -> DestinationRequest:
-        """Return what the picker is asked."""
+    def destination_request(self) -> DestinationRequest:
+        """Return the query to the picker."""
         request = self.request
         now_s = self.context.timer.now()
         service = request.service.name
@@ -269,27 +286,27 @@
             demand=self.demand(),
             remaining_s=request.remaining_s(now_s),
             excluded=frozenset(self.sender.excluded) | avoided,
-            local=request.handed_over,
+            local=request.is_forwarded,
             organisation=request.organisation_name,
             cost=self.cost(),
         )
 
-    def note_counted(self, choice: Choice | None) -> None:
-        """Note that a place was counted in the organisation's limit."""
+    def record_charge(self, choice: Choice | None) -> None:
+        """Record that a choice was charged to the organisation's limit."""
         if isinstance(choice, (SendHere, HandOver)):
-            self.is_counted = True
+            self.is_charged = True
 
     def cost(self) -> float:
-        """Return what one more sending counts for in the limit.
+        """Return what the next attempt costs in the organisation's limit.
 
-        What was given a place and has not run yet is counted already: a
-        refusal of another region or a full upstream would else take the
-        limit's units for nothing, twice or more for one request.
+        An attempt that was charged and did not run is not charged again.
+        Otherwise each refusal by a full upstream or another region would use
+        up units of the limit.
         """
-        return 0.0 if self.is_counted else self.request.cost
+        return 0.0 if self.is_charged else self.request.cost
 
-    def is_sound(self, choice: Choice) -> bool:
-        """Tell whether a picker's choice fits all that this VM knows."""
+    def is_valid_choice(self, choice: Choice) -> bool:
+        """Tell whether a picker's choice agrees with what this VM knows."""
         match choice:
             case SendHere(upstream=upstream):
                 return self.is_usable(upstream)
@@ -299,26 +316,28 @@
         return True
 
     def is_usable(self, upstream: UpstreamSeen) -> bool:
-        """Tell whether an upstream may get the request, by what is known here.
+        """Tell whether an upstream may receive the request.
 
-        What this VM has heard from any control VM holds: that an upstream
-        leaves, that its start is over, that its failure domain is evacuated.
+        An upstream is unusable once any control VM has reported that it is
+        leaving, that its incarnation has ended or that its failure domain is
+        evacuated.
         """
-        told = upstream.announcement
+        announcement = upstream.announcement
         homes = self.request.route.homes
-        known = self.context.watch.view().upstreams.get(
-            told.incarnation, upstream
+        current = self.context.watch.view().upstreams.get(
+            announcement.incarnation, upstream
         )
-        leaves = known.announcement.draining or self.context.watch.has_ended(
-            told
+        is_leaving = (
+            current.announcement.draining
+            or self.context.watch.has_ended(announcement)
         )
         is_home = not homes or self.context.settings.region in homes
         evacuated = self.context.active_revision().revision.evacuated
-        is_evacuated = told.failure_domain in evacuated
-        return is_home and not leaves and not is_evacuated
+        is_evacuated = announcement.failure_domain in evacuated
+        return is_home and not is_leaving and not is_evacuated
 
     def exclude(self, choice: SendHere | HandOver) -> None:
-        """Ask for another place than this one."""
+        """Exclude a destination from further choices."""
         match choice:
             case SendHere(upstream=upstream):
                 self.sender.excluded.add(upstream.announcement.incarnation)
@@ -326,7 +345,7 @@
                 self.sender.excluded.add(entry.region)
 
     def demand(self) -> Demand:
-        """Return what the request asks of an upstream."""
+        """Return what the request requires of an upstream."""
         prompt = self.request.prompt
         return Demand(
             prompt.prompt_tokens,
@@ -336,34 +355,34 @@
             objective_s=self.request.route.objective_s,
         )
 
-    def choose_alone(self) -> Choice:
-        """Return this VM's own choice, within its own part of limits."""
+    def choose_locally(self) -> Choice:
+        """Return this VM's own choice, within its share of the limits."""
         limits = self.context.picker.reports.limits
         name, cost = self.request.organisation_name, self.cost()
-        is_limited = name and not self.request.handed_over
+        is_limited = name and not self.request.is_forwarded
         now_s = self.context.timer.now()
         if is_limited:
-            status = self.context.limit_standing()
-            wait_s = limits.wait_s(name, cost, status, now_s)
+            share = self.context.limit_share()
+            wait_s = limits.wait_s(name, cost, share, now_s)
             if wait_s:
                 return Limited(wait_s)
-        choice = self.choose_alone_unlimited()
+        choice = self.choose_locally_unlimited()
         if is_limited and not isinstance(choice, NoPlace):
             limits.charge(name, cost, now_s)
         return choice
 
-    def choose_alone_unlimited(self) -> Choice:
-        """Return this VM's own choice on what is known now."""
+    def choose_locally_unlimited(self) -> Choice:
+        """Return this VM's own choice, whatever the limits."""
         request = self.request
         now_s = self.context.timer.now()
-        ask = ChoiceRequest(
+        choice_request = ChoiceRequest(
             route=request.route,
             service=request.service,
             demand=self.demand(),
             remaining_s=request.remaining_s(now_s),
             now_s=now_s,
             excluded=frozenset(self.sender.excluded),
-            local=request.handed_over,
+            local=request.is_forwarded,
             low_urgency_regions=request.low_urgency_regions,
             holders=self.context.watch.prefixes.holders(
                 request.prompt.shared_key,
@@ -373,10 +392,10 @@
         )
         view = self.context.watch.view()
         revision = self.context.active_revision().revision
-        return self.context.chooser.choose(ask, view, revision)
+        return self.context.chooser.choose(choice_request, view, revision)
 
-    def may_repeat(self) -> bool:
-        """Take one repeat from the budget where an upstream had it before."""
+    def spend_retry(self) -> bool:
+        """Spend one retry of the budget where an upstream had the request."""
         if not self.progress.arrivals:
             return True
         window = self.context.budgets.retry_window(self.request.service.name)
@@ -386,8 +405,8 @@
         self.context.metrics.count('ingress_retries_denied_total')
         return False
 
-    def may_send(self, choice: SendHere) -> bool:
-        """Take one request from a cold upstream's budget."""
+    def spend_cold_request(self, choice: SendHere) -> bool:
+        """Spend one request of a cold upstream's budget."""
         cold = self.request.service.cold_start
         if choice.chosen_by_picker or not choice.is_cold or cold is None:
             return True
@@ -399,7 +418,7 @@
         )
 
     def refuse(self, choice: NoPlace) -> Step:
-        """Return the last step of a request that has no place."""
+        """Return the last step of a request without a destination."""
         self.retry_after_s = choice.retry_after_s
         step = self.progress.give_up()
         refused = isinstance(step, RefuseWith)
@@ -413,14 +432,14 @@
         self.retry_after_s = choice.retry_after_s
         return self.refuse_as(ProblemKind.limited)
 
-    def authority_refusal(self) -> Step | None:
-        """Return the last step of a request whose key holds no more."""
+    def authorizer_refusal(self) -> Step | None:
+        """Return the last step of a request that is no longer authorized."""
         active_revision = self.context.active_revision()
         kind = self.context.authorizer.refusal(self.request, active_revision)
         return None if kind is None else self.refuse_as(kind)
 
     def refuse_as(self, kind: ProblemKind) -> Step:
-        """Return the last step of a request that may not be sent."""
+        """Return the last step of a request that must not be sent."""
         step = self.progress.give_up()
         is_refused = isinstance(step, RefuseWith)
         if is_refused and step.outcome is Outcome.not_run:
@@ -428,34 +447,40 @@
             return RefuseWith(kind, detail, Outcome.not_run)
         return step
 
-    async def carry_out(self, step: Step) -> None:
-        """Send the caller the end of its answer."""
+    async def send_result(self, step: Step) -> None:
+        """Send the caller the rest of its answer.
+
+        Raises
+        ------
+        ConnectionResetError
+            Where an answer was broken off.
+        """
         match step:
             case Deliver(answer):
-                self.account.record_first_try(self.context.timer.now())
-                self.close_account(f'answered {answer.status}')
+                self.trace.record_answer_start(self.context.timer.now())
+                self.close_trace(f'answered {answer.status}')
                 await self.writer.whole(answer)
             case Finish():
-                self.close_account('streamed')
+                self.close_trace('streamed')
                 await self.writer.finish()
             case BreakOff():
-                self.close_account('broken off')
+                self.close_trace('broken off')
                 self.writer.break_off()
                 raise ConnectionResetError('an answer was broken off')
             case RefuseWith(kind, detail, outcome):
-                self.close_account(f'refused {kind.slug} {outcome.value}')
+                self.close_trace(f'refused {kind.slug} {outcome.value}')
                 problem = Problem(kind, detail, outcome)
                 await self.writer.whole(self.render(problem))
 
     def render(self, problem: Problem) -> WholeAnswer:
-        """Return a refusal; one that did not run says when to come back."""
+        """Return a refusal, with a time to retry where nothing ran."""
         answer = render_problem(problem)
         if problem.outcome is not Outcome.not_run:
             return answer
         extra = [(b'retry-after', b'%.3f' % self.retry_after_s)]
-        if self.request.handed_over and self.progress.arrivals:
+        if self.request.is_forwarded and self.progress.arrivals:
             extra.append((ARRIVED_HEADER, b'true'))
-        if self.request.handed_over and self.is_quarantined:
+        if self.request.is_forwarded and self.is_quarantined:
             extra.append((QUARANTINED_HEADER, b'true'))
         return WholeAnswer(
             answer.status,
@@ -463,9 +488,9 @@
             answer.body,
         )
 
-    def close_account(self, ending: str) -> None:
-        """Log and count how the request ended, and by which decisions."""
-        self.account.close(
+    def close_trace(self, ending: str) -> None:
+        """Log and count the ended request."""
+        self.trace.close(
             ending,
             self.progress,
             self.context.active_revision().revision.revision,
--- /dev/null
+++ b/godwitshunt/ingress/tests/test_quarantined_request.py
@@ -0,0 +1,115 @@
+"""Attempts of a suspected or quarantined request."""
+
+from types import SimpleNamespace
+
+import pytest
+
+from godwitshunt.exchange.problems import Outcome, ProblemKind
+from godwitshunt.ingress.lifecycle import RequestLifecycle
+from godwitshunt.ingress.outcomes import (
+    BreakOff,
+    Lost,
+    NotRun,
+    Progress,
+    RefuseWith,
+    Retry,
+)
+from godwitshunt.quarantine import (
+    Fingerprint,
+    Loss,
+    LostRequest,
+    Quarantine,
+)
+from godwitshunt.telemetry import Metrics
+
+CRASHING = Fingerprint(bytes(16))
+LENGTH_S = 100.0
+
+
+class QuarantinedRequest(RequestLifecycle):
+    """A request that was lost to a number of crashed upstreams."""
+
+    def __init__(self, crashes: int, attempts: int = 3):
+        self.now_s = 10.0
+        self.quarantine = Quarantine(LENGTH_S, lambda: self.now_s, Metrics())
+        for number in range(crashes):
+            self.lose(f'i-{number}')
+        self.context = SimpleNamespace(
+            quarantine=self.quarantine,
+            metrics=Metrics(),
+        )
+        self.request = SimpleNamespace(
+            http=SimpleNamespace(body=b'hello'),
+            service=SimpleNamespace(name='llm'),
+            fingerprint=CRASHING,
+        )
+        self.progress = Progress(repeatable=True, attempts=attempts)
+
+    def lose(self, incarnation):
+        """Record the crash of another upstream, one second later."""
+        self.now_s += 1
+        loss = Loss(incarnation, self.now_s, 0.1)
+        self.quarantine.record_loss(LostRequest(CRASHING, '', 5, loss))
+
+
+@pytest.mark.parametrize(
+    ('crashes', 'is_sent'),
+    [(0, True), (1, True), (2, True), (3, False), (4, False)],
+)
+def test_caller_may_send_until_the_third_crash(crashes, is_sent):
+    """Guards against an early refusal and against a fourth crash."""
+    assert (QuarantinedRequest(crashes).quarantine_step() is None) is is_sent
+
+
+def test_suspected_request_is_not_retried():
+    """Retries of one attempt could crash three upstreams by themselves."""
+    request = QuarantinedRequest(crashes=1)
+    request.lose('i-8')
+    assert request.progress.next_step(Lost('ended'), remaining_s=3.0) == Retry()
+    step = request.quarantine_step()
+    assert step.kind is ProblemKind.upstream_broken
+    assert step.outcome is Outcome.unknown
+
+
+@pytest.mark.parametrize(
+    ('runs', 'begun', 'outcome'),
+    [(0, False, 'not-run'), (1, False, 'unknown'), (1, True, None)],
+)
+def test_refusal_states_whether_the_request_ran(runs, begun, outcome):
+    """A request that may have crashed an upstream is not called *not run*."""
+    request = QuarantinedRequest(crashes=3)
+    for _ in range(runs):
+        request.progress.next_step(Lost('ended'), remaining_s=3.0)
+    request.progress.begun = begun
+    step = request.quarantine_step()
+    if outcome is None:
+        assert step == BreakOff()
+    else:
+        assert step.outcome.value == outcome
+
+
+def test_refusal_by_another_vm_is_final():
+    """A quarantined request must not be forwarded from region to region."""
+    progress = Progress(repeatable=True, attempts=3)
+    refusal = NotRun('vm: quarantined: lost to i-1', is_final=True)
+    step = progress.next_step(refusal, remaining_s=3.0)
+    assert isinstance(step, RefuseWith)
+    assert (step.kind, step.outcome) == (
+        ProblemKind.quarantined,
+        Outcome.not_run,
+    )
+
+
+def test_probe_is_sent_and_repeats_wait_for_it():
+    """At the end of a quarantine only one of the waiting repeats is sent."""
+    request = QuarantinedRequest(crashes=3)
+    request.now_s += LENGTH_S
+    assert request.quarantine_step() is None
+    assert request.is_probe
+    other = QuarantinedRequest(crashes=0)
+    other.context.quarantine = request.quarantine
+    other.request = request.request
+    assert other.quarantine_step().kind is ProblemKind.quarantined
+    assert request.quarantine_step() is None
+    request.progress.next_step(Lost('ended'), remaining_s=3.0)
+    assert request.quarantine_step().outcome is Outcome.unknown
