--- a/godwitshunt/membership/region_gossip.py
+++ b/godwitshunt/membership/region_gossip.py
@@ -192,7 +192,7 @@
             batch=batch,
         )
         self.links.notify(
-            self.peers.own[peer],
+            self.peers.local_peers[peer],
             MessageKind.upstream_gossip,
             encode(message),
         )
--- a/godwitshunt/picking/client.py
+++ b/godwitshunt/picking/client.py
@@ -132,4 +132,4 @@
         report = self.reports.make(
             self.watch.contacts.for_control(str(picker)).source
         )
-        self.links.notify(picker, MessageKind.load_report, encode(made))
+        self.links.notify(picker, MessageKind.load_report, encode(report))
--- a/godwitshunt/routing/limits_task.py
+++ b/godwitshunt/routing/limits_task.py
@@ -102,8 +102,8 @@
         for name in sorted(self.limits.peers_to_notify(now)):
             vm = self.vms.get(name)
             if vm is not None:
-                news = self.limits.compose_update(name, now)
-                body = encode(update_to_wire(news))
+                update = self.limits.compose_update(name, now)
+                body = encode(update_to_wire(update))
                 self.links.notify(vm.peer, MessageKind.limit_gossip, body)
 
     async def receive(self, sender: str, body: bytes) -> None:
