--- a/godwitshunt/configuration/tests/fakes.py
+++ b/godwitshunt/configuration/tests/fakes.py
@@ -1,4 +1,4 @@
-"""An in-memory network and a small deployment for this slice's tests."""
+"""In-memory network and small deployment for tests."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 
 def vm(name: str, region: str, port: int, role: str = 'entry') -> VmRecord:
-    """Return a VM's record."""
+    """Return the record of a VM with ports `port` and `port` + 1."""
     return VmRecord(
         name,
         region,
@@ -34,7 +34,7 @@
 
 
 def manifest(number: int = 1, **changes) -> Manifest:
-    """Return a small manifest with two regions and one bound caller."""
+    """Return a manifest of two regions, one caller with a residency rule."""
     document = {
         'number': number,
         'deployment': 'statika',
@@ -52,7 +52,7 @@
 
 
 def caller(name: str, residency: str | None, home: str = 'zagreb') -> dict:
-    """Return a caller's fields."""
+    """Return the manifest entry of a caller."""
     return {
         'name': name,
         'key_sha256': KEY_DIGEST,
@@ -64,12 +64,16 @@
 
 @dataclass
 class Network:
-    """Links between processes whose ways can be cut."""
+    """In-memory network whose directed links can be partitioned.
+
+    `partitioned` holds pairs of sender and receiver. An address in
+    `unresponsive` accepts calls and never answers.
+    """
 
     handlers: dict = field(default_factory=dict)
-    cut: set = field(default_factory=set)
+    partitioned: set = field(default_factory=set)
     lost_replies: set = field(default_factory=set)
-    silent: set = field(default_factory=set)
+    unresponsive: set = field(default_factory=set)
     bytes_sent: int = 0
 
     def links(self, address: Address) -> 'FakeLinks':
@@ -78,7 +82,7 @@
 
 @dataclass
 class FakeLinks:
-    """One process's side of the network; takes the place of PeerLinks."""
+    """Links of one process, in place of `PeerLinks`."""
 
     network: Network
     own: Address
@@ -87,28 +91,31 @@
         self.network.handlers[self.own, kind] = handler
 
     async def call(self, address, kind, body, timeout_s):
-        if (self.own, address) in self.network.cut:
-            return Err(NotSent(str(address), 'cut'))
-        if address in self.network.silent:
+        if (self.own, address) in self.network.partitioned:
+            return Err(NotSent(str(address), 'partitioned'))
+        if address in self.network.unresponsive:
             await asyncio.Event().wait()
         handler = self.network.handlers.get((address, kind))
         if handler is None:
             return Err(NotSent(str(address), 'refused'))
         reply = await handler('peer', body)
         self.network.bytes_sent += len(body) + len(reply)
-        if (address, self.own) in self.network.cut:
+        if (address, self.own) in self.network.partitioned:
             return Err(OutcomeUnknown(str(address), 'reply lost'))
         return Ok(reply)
 
     def tell(self, address, kind, body) -> None:
         handler = self.network.handlers.get((address, kind))
-        if handler is not None and (self.own, address) not in self.network.cut:
+        if (
+            handler is not None
+            and (self.own, address) not in self.network.partitioned
+        ):
             self.network.bytes_sent += len(body)
             asyncio.get_running_loop().create_task(handler('peer', body))
 
 
-def follower() -> SingleLog:
-    """Return the log of a replica that does not lead."""
+def make_follower_log() -> SingleLog:
+    """Return the log of a replica that is not the leader."""
     log = SingleLog('c2')
     log.leading = False
     return log
@@ -116,21 +123,23 @@
 
 @dataclass
 class Deployment:
-    """Control replicas over one log, and entry VMs, on virtual time."""
+    """Control replicas over one log and entry VMs, in virtual time."""
 
     timer: VirtualTimerService = field(default_factory=VirtualTimerService)
     network: Network = field(default_factory=Network)
     log: SingleLog = field(default_factory=lambda: SingleLog('c1'))
-    follower_log: SingleLog = field(default_factory=follower)
+    follower_log: SingleLog = field(default_factory=make_follower_log)
     services: dict[str, ConfigurationService] = field(default_factory=dict)
     tasks: dict[str, ConfigurationTask] = field(default_factory=dict)
     control: tuple[Address, ...] = tuple(
         Address(host='127.0.0.1', port=port) for port in (101, 103)
     )
 
-    def add_control(self, name: str, region: str, place: int = 0) -> None:
-        record = vm(name, region, self.control[place].port - 1, 'control')
-        others = tuple(one for one in self.control if one != record.peer)
+    def add_control(self, name: str, region: str, index: int = 0) -> None:
+        record = vm(name, region, self.control[index].port - 1, 'control')
+        others = tuple(
+            address for address in self.control if address != record.peer
+        )
         service = ConfigurationService(
             record,
             others,
@@ -142,35 +151,35 @@
         service.start()
         self.services[name] = service
 
-    def add_vm(self, name: str, region: str, port: int, **more) -> VmRecord:
+    def add_vm(self, name: str, region: str, port: int, **options) -> VmRecord:
         record = vm(name, region, port)
         task = ConfigurationTask(
             record,
-            more.get('control', self.control),
-            more.get('peers', ()),
+            options.get('control', self.control),
+            options.get('peers', ()),
             self.network.links(record.peer),
             self.timer,
             Metrics(),
-            more.get('kept'),
-            more.get('unlisted'),
+            options.get('revision_file'),
+            options.get('unlisted'),
         )
         task.start()
         self.tasks[name] = task
         return record
 
     async def run(self, duration_s: float) -> None:
-        """Let virtual time pass and every task do its work."""
+        """Advance the virtual time and let every task run."""
         for _ in range(round(duration_s * 10)):
             self.timer.advance(0.1)
             for _ in range(30):
                 await asyncio.sleep(0)
             for task in self.tasks.values():
-                # Held while a revision is written to the real disk.
+                # The lock is held while a revision is written to disk.
                 async with task.lock:
                     await asyncio.sleep(0)
 
-    async def accept(self, document: Manifest, at: str = 'c1'):
-        return (await self.services[at].accept(document)).ok_value
+    async def accept(self, document: Manifest, replica: str = 'c1'):
+        return (await self.services[replica].accept(document)).ok_value
 
     def revisions(self) -> dict[str, int]:
         return {
@@ -179,10 +188,10 @@
         }
 
     async def close(self) -> None:
-        for part in (*self.services.values(), *self.tasks.values()):
-            await part.close()
+        for component in (*self.services.values(), *self.tasks.values()):
+            await component.close()
 
-    def cut_off(self, address: Address) -> None:
-        """Cut a process from the control replicas, both ways."""
+    def partition_from_control(self, address: Address) -> None:
+        """Partition a process from the control replicas in both directions."""
         for control in self.control:
-            self.network.cut |= {(address, control), (control, address)}
+            self.network.partitioned |= {(address, control), (control, address)}
--- a/godwitshunt/configuration/tests/test_cluster.py
+++ b/godwitshunt/configuration/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""Making and repairing the cluster when answers and steps are lost."""
+"""Tests of creating and repairing the cluster when replies are lost."""
 
 from dataclasses import dataclass, field
 
@@ -24,140 +24,154 @@
 
 @dataclass
 class FakeConsensus:
-    """Members that change by steps; one step is lost, done or not."""
+    """Consensus of which one membership change gets no reply.
 
-    members_now: dict[ReplicaId, bool]
-    folders: dict[Address, Identity]
-    lost_step: int = 0
-    lost_is_done: bool = False
-    leads: bool = True
-    steps: int = 0
-    log: list[str] = field(default_factory=list)
+    `lost_reply_applied` says whether the change `lost_reply_at` (counted
+    from 1; 0 is none) takes effect.
+    """
+
+    voter_flags: dict[ReplicaId, bool]
+    identities: dict[Address, Identity]
+    lost_reply_at: int = 0
+    lost_reply_applied: bool = False
+    is_leader: bool = True
+    change_count: int = 0
+    voter_log: list[str] = field(default_factory=list)
 
     @property
     def transport(self):
-        """Stand in for the links, too."""
+        """Return this object, which also replaces the transport."""
         return self
 
     async def identify(self, address, timeout_s):
-        """Tell whose folder is at an address."""
-        return Ok(self.folders[address])
+        """Return the identity that is stored at an address."""
+        return Ok(self.identities[address])
 
     def identity(self):
-        """Tell the first replica's identity."""
-        return self.folders[ADDRESSES[0]]
+        """Return the identity of the first replica."""
+        return self.identities[ADDRESSES[0]]
 
     def leadership(self):
-        """Tell whether the first replica leads."""
-        return Leadership('c1', 1, self.leads, 1, 0)
+        """Return the leadership as the first replica knows it."""
+        return Leadership('c1', 1, self.is_leader, 1, 0)
 
     def members(self):
-        """Return the members."""
+        """Return the status of each member."""
         by_name = dict(zip(('c1', 'c2', 'c3'), ADDRESSES, strict=True))
         return tuple(
-            MemberStatus(one, by_name[one.name], voter, 0, 0, True)
-            for one, voter in self.members_now.items()
+            MemberStatus(replica, by_name[replica.name], voter, 0, 0, True)
+            for replica, voter in self.voter_flags.items()
         )
 
-    def step(self, replica, voter):
-        """Change a member, unless this is the lost step."""
-        self.steps += 1
-        is_lost = self.steps == self.lost_step
-        if not is_lost or self.lost_is_done:
-            self.members_now.pop(replica, None)
+    def change_member(self, replica, voter):
+        """Add, promote or remove a member; `voter` is None to remove it."""
+        self.change_count += 1
+        is_reply_lost = self.change_count == self.lost_reply_at
+        if not is_reply_lost or self.lost_reply_applied:
+            self.voter_flags.pop(replica, None)
             if voter is not None:
-                self.members_now[replica] = voter
-        quorum = sum(self.members_now.values())
-        self.log.append(f'{quorum} voters')
-        return Err(CommitUnknown('lost')) if is_lost else Ok(None)
+                self.voter_flags[replica] = voter
+        voter_count = sum(self.voter_flags.values())
+        self.voter_log.append(f'{voter_count} voters')
+        return Err(CommitUnknown('lost')) if is_reply_lost else Ok(None)
 
     async def add_learner(self, name, incarnation, address):
         """Add a learner."""
-        return self.step(ReplicaId(name, incarnation), voter=False)
+        return self.change_member(ReplicaId(name, incarnation), voter=False)
 
     async def promote(self, name):
-        """Make the learner of a name a voter."""
-        for replica, voter in tuple(self.members_now.items()):
+        """Promote the learner with this name to a voter."""
+        for replica, voter in tuple(self.voter_flags.items()):
             if replica.name == name and not voter:
-                return self.step(replica, voter=True)
+                return self.change_member(replica, voter=True)
         return Err(UnknownMember(ReplicaId(name, '')))
 
     async def remove(self, name, incarnation):
-        """Take a member out."""
-        return self.step(ReplicaId(name, incarnation), voter=None)
+        """Remove a member."""
+        return self.change_member(ReplicaId(name, incarnation), voter=None)
 
     def voters(self):
-        """Return the voters."""
-        return {str(one) for one, voter in self.members_now.items() if voter}
+        """Return the voters as `name/incarnation`."""
+        return {
+            str(replica) for replica, voter in self.voter_flags.items() if voter
+        }
 
 
-def replicas(members: str, folders: str, **more) -> FakeConsensus:
-    """Return a cluster, for instance of ``a a b``: one letter a folder."""
+def make_consensus(members: str, stored: str, **options) -> FakeConsensus:
+    """Return a consensus of replicas c1 to c3.
+
+    Each letter is the incarnation of one replica: in `members` as the
+    cluster knows it, in `stored` as the replica has it on disk.
+    """
     names = ('c1', 'c2', 'c3')
-    now = {
-        ReplicaId(name, letter): True
-        for name, letter in zip(names, members.split(), strict=False)
+    current = {
+        ReplicaId(name, incarnation): True
+        for name, incarnation in zip(names, members.split(), strict=False)
     }
-    found = {
+    identities = {
         address: Identity(
-            ReplicaId(name, letter), ReplicaId(name, letter) not in now
+            ReplicaId(name, incarnation),
+            ReplicaId(name, incarnation) not in current,
         )
-        for name, letter, address in zip(
-            names, folders.split(), ADDRESSES, strict=True
+        for name, incarnation, address in zip(
+            names, stored.split(), ADDRESSES, strict=True
         )
     }
-    return FakeConsensus(now, found, **more)
+    return FakeConsensus(current, identities, **options)
 
 
-@pytest.mark.parametrize('lost_step', [0, 1, 2, 3])
-@pytest.mark.parametrize('lost_is_done', [False, True])
-async def test_replace_can_be_repeated_at_each_step(lost_step, lost_is_done):
-    """A disk was lost; the answer to one step of the repair is lost, too.
+@pytest.mark.parametrize('lost_reply_at', [0, 1, 2, 3])
+@pytest.mark.parametrize('lost_reply_applied', [False, True])
+async def test_replace_can_be_repeated_after_any_lost_reply(
+    lost_reply_at,
+    lost_reply_applied,
+):
+    """A replica lost its disk, and the reply to one membership change is lost.
 
-    The operator runs the command again and ends with three voters; at no
-    step were there fewer, so that a second loss would cost nothing.
+    Running the command again yields three voters. There are never fewer in
+    between, so that the cluster tolerates one more failed replica throughout.
     """
-    consensus = replicas(
+    consensus = make_consensus(
         'a a a',
         'a a b',
-        lost_step=lost_step,
-        lost_is_done=lost_is_done,
+        lost_reply_at=lost_reply_at,
+        lost_reply_applied=lost_reply_applied,
     )
     cluster = Cluster(consensus, ADDRESSES, ADDRESSES[0])
     first = await cluster.replace('c3', None)
-    assert isinstance(first, Err) == bool(lost_step)
+    assert isinstance(first, Err) == bool(lost_reply_at)
     await cluster.replace('c3', None)
     assert consensus.voters() == {'c1/a', 'c2/a', 'c3/b'}
-    assert not {'1 voters', '2 voters'} & set(consensus.log)
-    steps = consensus.steps
+    assert not {'1 voters', '2 voters'} & set(consensus.voter_log)
+    change_count = consensus.change_count
     await cluster.replace('c3', None)
-    assert consensus.steps == steps
+    assert consensus.change_count == change_count
 
 
-@pytest.mark.parametrize('lost_step', [1, 2, 3, 4])
-async def test_init_that_was_cut_off_goes_on(lost_step):
-    """The first replica is started; joining another one is cut off.
+@pytest.mark.parametrize('lost_reply_at', [1, 2, 3, 4])
+async def test_interrupted_init_can_be_repeated(lost_reply_at):
+    """The first replica is initialised; adding another one is interrupted.
 
-    The operator runs ``init`` again and ends with three voters. Once they
-    are, it is refused, also where a disk was lost since.
+    Running ``init`` again yields three voters. It is refused once there are
+    three, also if a replica has lost its disk since.
     """
-    consensus = replicas('a', 'a a a', lost_step=lost_step)
+    consensus = make_consensus('a', 'a a a', lost_reply_at=lost_reply_at)
     cluster = Cluster(consensus, ADDRESSES, ADDRESSES[0])
     assert isinstance(await cluster.initialise(), Err)
     assert isinstance(await cluster.initialise(), Ok)
     assert consensus.voters() == VOTERS
-    lost = replicas('a a a', 'a a b')
-    refused = await Cluster(lost, ADDRESSES, ADDRESSES[0]).initialise()
-    assert isinstance(refused.err_value, AlreadyInitialised)
-    assert lost.voters() == VOTERS
+    disk_lost = make_consensus('a a a', 'a a b')
+    outcome = await Cluster(disk_lost, ADDRESSES, ADDRESSES[0]).initialise()
+    assert isinstance(outcome.err_value, AlreadyInitialised)
+    assert disk_lost.voters() == VOTERS
 
 
-async def test_refusals():
-    """A follower is asked, or a replica that never was a member."""
-    consensus = replicas('a a a', 'a a b', leads=False)
+async def test_replace_is_refused_by_follower_and_for_unknown_member():
+    """A refused replacement changes no member."""
+    consensus = make_consensus('a a a', 'a a b', is_leader=False)
     cluster = Cluster(consensus, ADDRESSES, ADDRESSES[0])
     assert (await cluster.replace('c3', None)).err_value == NotLeader('c1')
-    consensus.leads = True
-    unknown = await cluster.replace('c9', None)
-    assert isinstance(unknown.err_value, UnknownMember)
-    assert consensus.steps == 0
+    consensus.is_leader = True
+    outcome = await cluster.replace('c9', None)
+    assert isinstance(outcome.err_value, UnknownMember)
+    assert consensus.change_count == 0
--- a/godwitshunt/configuration/tests/test_distribution.py
+++ b/godwitshunt/configuration/tests/test_distribution.py
@@ -1,4 +1,4 @@
-"""Revisions reach every VM, only upwards, through cuts and restarts."""
+"""Tests that each VM gets the newest revision after faults and restarts."""
 
 import pytest
 
@@ -23,17 +23,17 @@
 @pytest.fixture
 async def deployment():
     """Yield one control replica and a VM in each of two regions."""
-    made = Deployment()
-    made.add_control('c1', 'zagreb')
-    made.add_vm('e1', 'zagreb', 201)
-    made.add_vm('e2', 'split', 203)
-    await made.run(3)
-    yield made
-    await made.close()
+    running = Deployment()
+    running.add_control('c1', 'zagreb')
+    running.add_vm('e1', 'zagreb', 201)
+    running.add_vm('e2', 'split', 203)
+    await running.run(3)
+    yield running
+    await running.close()
 
 
-async def test_accepted_manifest_is_in_force_everywhere(deployment):
-    """Every VM applies it, is listed in it, and has a fresh proof."""
+async def test_accepted_manifest_is_active_on_every_vm(deployment):
+    """Each VM applies the revision, is listed in it and has a recent proof."""
     accepted = await deployment.accept(manifest())
     await deployment.run(2)
     assert isinstance(accepted, Accepted)
@@ -50,17 +50,17 @@
     assert deployment.tasks['e2'].quorum_age_s() < 2
 
 
-async def test_restart_without_disk_while_control_is_gone(deployment):
-    """A VM without a disk restarts while no control replica answers it.
+async def test_diskless_restart_without_control_uses_a_peer(deployment):
+    """A VM without a disk restarts while it reaches no control replica.
 
-    Its peer has the newest revision and a fresh proof of the quorum; without
-    asking it the VM's callers would get nothing.
+    It gets the newest revision and a recent proof of the quorum from its
+    peer; otherwise it would have to refuse its callers.
     """
     address = deployment.tasks['e1'].record.peer
     record = deployment.add_vm('e3', 'zagreb', 205, peers=(address,))
     await deployment.accept(manifest())
     await deployment.run(3)
-    deployment.cut_off(record.peer)
+    deployment.partition_from_control(record.peer)
     await deployment.tasks['e3'].close()
     deployment.add_vm('e3', 'zagreb', 205, peers=(address,))
     assert deployment.revisions()['e3'] == 0
@@ -71,34 +71,37 @@
     assert deployment.tasks['e3'].quorum_age_s() < 3
 
 
-async def test_restart_while_isolated_keeps_the_newest(deployment, tmp_path):
-    """A VM with a disk is restarted while nobody answers it.
+async def test_isolated_restart_restores_the_revision(deployment, tmp_path):
+    """A VM with a disk restarts while it reaches no other process.
 
-    It must come back with the newest revision that was in force there, and
-    must know that it is isolated.
+    It must restore the newest revision that was active on it, and must know
+    that it is isolated.
     """
-    kept = RevisionFile(tmp_path)
-    record = deployment.add_vm('e4', 'split', 207, kept=kept)
+    revision_file = RevisionFile(tmp_path)
+    record = deployment.add_vm('e4', 'split', 207, revision_file=revision_file)
     for number in (1, 2, 3):
         await deployment.accept(manifest(number))
         await deployment.run(2)
     newest = deployment.revisions()['e4']
-    deployment.cut_off(record.peer)
+    deployment.partition_from_control(record.peer)
     await deployment.tasks['e4'].close()
-    deployment.add_vm('e4', 'split', 207, kept=kept, control=())
+    deployment.add_vm(
+        'e4', 'split', 207, revision_file=revision_file, control=()
+    )
     assert deployment.revisions()['e4'] == newest
     assert deployment.tasks['e4'].quorum_age_s() == float('inf')
     assert deployment.tasks['e4'].current.manifest.number == 3
 
 
-async def test_isolated_vm_knows_the_age_of_its_proof(deployment):
-    """A VM is cut from control and from its peers.
+async def test_proof_of_an_isolated_vm_ages(deployment):
+    """A VM is partitioned from the control replicas and has no peers.
 
-    The age of its proof grows, so that it stops serving bound callers.
+    The age of its proof grows, so that it stops serving callers that have a
+    residency rule.
     """
     await deployment.accept(manifest())
     await deployment.run(2)
-    deployment.cut_off(deployment.tasks['e2'].record.peer)
+    deployment.partition_from_control(deployment.tasks['e2'].record.peer)
     await deployment.run(5)
     assert deployment.tasks['e2'].quorum_age_s() > 4
 
@@ -110,182 +113,192 @@
         ([caller('site', 'both'), caller('office', 'home')], True),
     ],
 )
-async def test_region_taken_away(deployment, callers, waits_after_lease):
-    """A caller loses a region while that region's VM is cut off.
-
-    The VM may still serve the caller there. Where its lease ends that, the
-    manifest is accepted after the lease; where a VM serves the caller also
-    while isolated, only after the VM answers or is taken out.
+async def test_region_removal_waits_for_partitioned_vm(
+    deployment,
+    callers,
+    waits_after_lease,
+):
+    """A caller loses a region while the VM of that region is partitioned.
+
+    The VM may still serve the caller there. If the VM stops when its lease
+    expires, the manifest is accepted then. If it serves the caller also while
+    isolated, the manifest waits until the VM reports again or is removed.
     """
     await deployment.accept(manifest())
     await deployment.run(2)
-    deployment.cut_off(deployment.tasks['e2'].record.peer)
-    pending = await deployment.accept(manifest(2, callers=callers))
-    assert isinstance(pending, Pending)
+    deployment.partition_from_control(deployment.tasks['e2'].record.peer)
+    first_outcome = await deployment.accept(manifest(2, callers=callers))
+    assert isinstance(first_outcome, Pending)
     assert deployment.services['c1'].waits_for(2) == ['e2']
     await deployment.run(15)
-    again = await deployment.accept(manifest(2, callers=callers))
-    assert isinstance(again, Pending) == waits_after_lease
-    deployment.network.cut.clear()
+    outcome = await deployment.accept(manifest(2, callers=callers))
+    assert isinstance(outcome, Pending) == waits_after_lease
+    deployment.network.partitioned.clear()
     await deployment.run(4)
-    again = await deployment.accept(manifest(2, callers=callers))
-    assert isinstance(again, Accepted)
+    outcome = await deployment.accept(manifest(2, callers=callers))
+    assert isinstance(outcome, Accepted)
 
 
-async def test_vm_that_was_silent_for_long(deployment):
-    """A VM is replaced under another name, or cut off for hours.
+async def test_expired_vm_still_delays_a_region_removal(deployment):
+    """A VM is replaced under another name, or is partitioned for hours.
 
-    It leaves the list of VMs, else the list would grow for ever. But it may
-    still serve its region while cut off, so a manifest that takes this region
-    from a caller waits for it until it is back or taken out.
+    It is dropped from the list of VMs, which would otherwise grow without
+    limit. It may still serve its region, so a manifest that removes this
+    region from a caller waits until the VM is back or has been removed.
     """
     await deployment.accept(manifest())
-    deployment.cut_off(deployment.tasks['e2'].record.peer)
+    deployment.partition_from_control(deployment.tasks['e2'].record.peer)
     await deployment.run(2)
     deployment.timer.advance(3700)
     await deployment.run(3)
     state = deployment.services['c1'].state
     assert 'e2' not in state.document.section('vms')
-    bound = [caller('office', 'home')]
+    restricted_callers = [caller('office', 'home')]
     assert isinstance(
-        await deployment.accept(manifest(2, callers=bound)),
+        await deployment.accept(manifest(2, callers=restricted_callers)),
         Pending,
     )
     await deployment.run(15)
     assert deployment.services['c1'].waits_for(2) == ['e2']
-    gone = ChangeVms(removed=('e2',))
-    await deployment.services['c1'].propose(gone)
+    removal = ChangeVms(removed=('e2',))
+    await deployment.services['c1'].propose(removal)
     await deployment.run(1)
-    again = await deployment.accept(manifest(2, callers=bound))
-    assert isinstance(again, Accepted)
+    outcome = await deployment.accept(manifest(2, callers=restricted_callers))
+    assert isinstance(outcome, Accepted)
 
 
 async def test_later_number_waits_for_the_earlier_one(deployment):
-    """Number 2 takes a region away and waits for a VM that is cut off.
+    """Manifest 2 removes a region and waits for a partitioned VM.
 
-    Number 3 keeps that rule and takes nothing more. Were it accepted at once,
-    the VM would still serve there by number 1. A seeded schedule found this.
+    Manifest 3 keeps that rule and removes nothing more. If it were accepted
+    at once, the VM would still serve the region by manifest 1. The schedules
+    of test_schedules found this fault.
     """
     await deployment.accept(manifest())
     await deployment.run(2)
-    deployment.cut_off(deployment.tasks['e2'].record.peer)
-    bound = [caller('office', 'home')]
-    await deployment.accept(manifest(2, callers=bound))
-    later = await deployment.accept(manifest(3, callers=bound))
-    assert isinstance(later, Pending)
-    deployment.network.cut.clear()
+    deployment.partition_from_control(deployment.tasks['e2'].record.peer)
+    restricted_callers = [caller('office', 'home')]
+    await deployment.accept(manifest(2, callers=restricted_callers))
+    outcome = await deployment.accept(manifest(3, callers=restricted_callers))
+    assert isinstance(outcome, Pending)
+    deployment.network.partitioned.clear()
     await deployment.run(4)
-    later = await deployment.accept(manifest(3, callers=bound))
-    assert isinstance(later, Accepted)
+    outcome = await deployment.accept(manifest(3, callers=restricted_callers))
+    assert isinstance(outcome, Accepted)
 
 
 async def test_vm_serves_only_once_it_is_listed(deployment, tmp_path):
-    """A new VM has the newest revision before it is admitted.
+    """A new VM receives the newest revision before it is admitted.
 
-    A manifest that is accepted meanwhile does not wait for it, so it must not
-    serve yet: it has no revision in force until one lists it.
+    A manifest that is accepted meanwhile does not wait for this VM, so it
+    must not serve: no revision is active on it until one lists it.
     """
     await deployment.accept(manifest())
     service = deployment.services['c1']
     for subscription in service.subscriptions:
         if subscription.callback == service.begin_maintenance:
             subscription.cancel()
-    kept = RevisionFile(tmp_path)
-    record = deployment.add_vm('e5', 'split', 209, kept=kept)
+    revision_file = RevisionFile(tmp_path)
+    record = deployment.add_vm('e5', 'split', 209, revision_file=revision_file)
     await deployment.run(3)
     assert deployment.tasks['e5'].sync_state.latest is not None
     assert deployment.tasks['e5'].current is None
     await deployment.tasks['e5'].close()
-    deployment.add_vm('e5', 'split', 209, kept=kept)
+    deployment.add_vm('e5', 'split', 209, revision_file=revision_file)
     assert deployment.tasks['e5'].current is None
     service.begin_maintenance()
     await deployment.run(3)
     assert record in deployment.tasks['e5'].current.vms
 
 
-async def test_replayed_entries_make_one_revision_ready(deployment):
-    """A control replica restarts and replays hundreds of entries at once.
+async def test_replay_publishes_only_the_last_revision(deployment):
+    """A control replica restarts and replays hundreds of log entries.
 
-    Were each made ready for VMs, it would not answer for many seconds.
+    If it prepared each revision for the VMs, it would not answer for many
+    seconds.
     """
     service = deployment.services['c1']
-    made_ready = []
-    service.subscribe(made_ready.append)
+    published = []
+    service.subscribe(published.append)
     for number in range(1, 40):
         await deployment.accept(manifest(number))
     await deployment.run(0.1)
-    assert [one.manifest.number for one in made_ready] == [39]
+    assert [revision.manifest.number for revision in published] == [39]
 
 
-async def test_first_revision_waits_for_no_silent_replica(deployment):
-    """All machines come back from the dark at once, replicas among them.
+async def test_unresponsive_replicas_do_not_delay_first_revision(deployment):
+    """All machines restart at once after an outage, control replicas too.
 
-    Two replicas take connections and do not answer yet. Asked in turn, they
-    keep a VM from the third one, and its callers are refused meanwhile.
+    Two replicas accept connections and do not answer yet. If a VM queried
+    the replicas in turn, it would reach the third one late and refuse its
+    callers until then.
     """
     await deployment.accept(manifest())
-    silent = tuple(Address(host='127.0.0.1', port=port) for port in (111, 113))
-    deployment.network.silent.update(silent)
-    # Each VM begins with another replica, by its name.
+    unresponsive = tuple(
+        Address(host='127.0.0.1', port=port) for port in (111, 113)
+    )
+    deployment.network.unresponsive.update(unresponsive)
+    # The name of a VM determines which replica it queries first.
     for number in range(4):
         deployment.add_vm(
             f'late-{number}',
             'zagreb',
             205 + 2 * number,
-            control=(*silent, deployment.control[0]),
+            control=(*unresponsive, deployment.control[0]),
             unlisted=UnlistedStart(),
         )
     await deployment.run(1)
     assert len(set(deployment.revisions().values())) == 1
 
 
-async def told_first(replies: dict[int, int], held: int) -> list[int]:
-    """Return what a VM has in force after each reply of the first ones.
+async def active_after_start(replies: dict[int, int], newest: int) -> list[int]:
+    """Return the active revision of a new VM at each 0.1 s of its first 0.8 s.
 
-    Control replicas at ports of 301 and above tell the revisions in
-    `replies`; `held` is the last one that any of them knows.
+    `replies` maps the port of a control replica (301, 303 or 305) to the
+    revision that it replies with, 0 for none. `newest` is the last revision
+    that any of them has.
     """
-    made = Deployment()
-    made.control = tuple(
+    deployment = Deployment()
+    deployment.control = tuple(
         Address(host='127.0.0.1', port=port) for port in (301, 303, 305)
     )
     history = RevisionHistory()
-    for revision in range(1, held + 1):
+    for revision in range(1, newest + 1):
         document = document_of(manifest(revision))
         history.add(DocumentRevision(revision, digest_of(document), document))
     for port, revision in replies.items():
-        news = RevisionHistory()
+        replica_history = RevisionHistory()
         if revision:
-            news.add(history.documents[revision])
-        body = encode(news.make_update(0, float('inf')))
+            replica_history.add(history.documents[revision])
+        body = encode(replica_history.make_update(0, float('inf')))
 
-        async def answer(sender, asked, body=body):
+        async def reply(sender, request, body=body):
             return body
 
         address = Address(host='127.0.0.1', port=port)
         kind = MessageKind.vm_heartbeat
-        made.network.handlers[address, kind] = answer
-    made.add_vm('e1', 'zagreb', 401, unlisted=UnlistedStart())
-    in_force = []
+        deployment.network.handlers[address, kind] = reply
+    deployment.add_vm('e1', 'zagreb', 401, unlisted=UnlistedStart())
+    active_revisions = []
     for _ in range(8):
-        await made.run(0.1)
-        in_force.append(made.revisions()['e1'])
-    await made.close()
-    return in_force
+        await deployment.run(0.1)
+        active_revisions.append(deployment.revisions()['e1'])
+    await deployment.close()
+    return active_revisions
 
 
-async def test_the_newest_revision_of_a_majority_is_taken_at_once():
-    """All machines were dark, and no replica leads yet.
+async def test_newest_revision_of_a_majority_is_active_at_once():
+    """All machines restart after an outage, and no replica is leader yet.
 
-    Waiting for a proof of a quorum, or for half a second, every VM refused
-    its callers although two of three replicas had told what they hold.
+    If VMs waited for a proof of a quorum, or for half a second, they would
+    refuse their callers although two of three replicas have replied.
     """
-    in_force = await told_first({301: 2, 303: 3}, held=3)
-    assert in_force[0] == 3
+    active_revisions = await active_after_start({301: 2, 303: 3}, newest=3)
+    assert active_revisions[0] == 3
 
 
-async def test_one_replica_alone_is_believed_only_after_a_while():
-    """The only replica that answers may be one that missed changes."""
-    in_force = await told_first({301: 2, 303: 0}, held=2)
-    assert in_force[:4] == [0, 0, 0, 0]
-    assert in_force[-1] == 2
+async def test_revision_of_a_single_replica_is_active_after_a_delay():
+    """The only replica that has a revision may have missed later ones."""
+    active_revisions = await active_after_start({301: 2, 303: 0}, newest=2)
+    assert active_revisions[:4] == [0, 0, 0, 0]
+    assert active_revisions[-1] == 2
--- a/godwitshunt/configuration/tests/test_explanation.py
+++ b/godwitshunt/configuration/tests/test_explanation.py
@@ -1,4 +1,4 @@
-"""What an operator is told of a request of a route, and why."""
+"""Tests of the explanations of how a request to a route is handled."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 
 
 def route(prefix: str, **changes) -> Route:
-    """Return a route that asks for keys."""
+    """Return a route that requires a key."""
     fields = {
         'name': f'r{prefix}',
         'host': HOST,
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ('path', 'organisation', 'told'),
+    ('path', 'organisation', 'expected'),
     [
         ('/x', None, {'answer': '401: the route asks for a key'}),
         ('/open/x', None, {'answer': 'served', 'homes': 'all'}),
@@ -72,20 +72,20 @@
         ('/kochi/x', 'southern', {'homes_of_organisation': ['tvm']}),
     ],
 )
-def test_a_request_is_explained_by_its_route_and_its_organisation(
+def test_explanation_names_rules_of_route_and_organisation(
     path,
     organisation,
-    told,
+    expected,
 ):
-    """An operator asks why an organisation's request was refused."""
-    found = explain_route(STATE, HOST, path, organisation)
-    assert told.items() <= found.items()
-    assert found['number'] == 7
+    """The explanation tells which homes, rank and limit apply."""
+    explanation = explain_route(STATE, HOST, path, organisation)
+    assert expected.items() <= explanation.items()
+    assert explanation['number'] == 7
 
 
-def test_what_is_not_declared_is_told():
-    """A misspelt host or organisation must not look like a rule."""
-    found = explain_route(STATE, 'b.example', '/x', None)
-    assert found['answer'].startswith('404')
+def test_unknown_host_or_organisation_is_reported():
+    """A misspelt host or organisation must not look like a refusal by rule."""
+    explanation = explain_route(STATE, 'b.example', '/x', None)
+    assert explanation['answer'].startswith('404')
     with pytest.raises(KeyError):
         explain_route(STATE, HOST, '/x', 'nobody')
--- a/godwitshunt/configuration/tests/test_fault_isolation.py
+++ b/godwitshunt/configuration/tests/test_fault_isolation.py
@@ -1,4 +1,4 @@
-"""A command or a notice that the control state has a fault with."""
+"""Tests that an exception in one component does not spread."""
 
 import asyncio
 
@@ -7,57 +7,57 @@
 from godwitshunt.configuration import SingleLog
 from godwitshunt.configuration.background import BackgroundTasks
 from godwitshunt.configuration.state_machine import StateMachine
-from godwitshunt.configuration.tests.test_state import accept
+from godwitshunt.configuration.tests.test_state import accept_command
 
 
 @pytest.fixture
 def machine():
     """Return a state machine over a log of one process."""
-    made = StateMachine(SingleLog('c-1'))
-    made.start()
-    return made
+    state_machine = StateMachine(SingleLog('c-1'))
+    state_machine.start()
+    return state_machine
 
 
 async def test_command_that_cannot_be_applied_is_not_committed(
     machine,
     monkeypatch,
 ):
-    """A configuration that control VMs end by, one after the other.
+    """A command that raises when applied must not enter the log.
 
-    Once it is in the log, each replica has the fault, also after a restart.
+    Once committed, it would crash every replica, also after each restart.
     """
 
     def fail(state, command):
-        raise KeyError('a fault of ours')
+        raise KeyError('injected fault')
 
-    place = 'godwitshunt.configuration.state_machine.apply_command'
-    monkeypatch.setattr(place, fail)
+    target = 'godwitshunt.configuration.state_machine.apply_command'
+    monkeypatch.setattr(target, fail)
     with pytest.raises(KeyError):
-        await machine.propose(accept(1))
+        await machine.propose(accept_command(1))
     assert not machine.log.entries
 
 
-async def test_part_that_fails_on_a_state_ends_no_other_part(machine):
-    """A configuration that one part of each control VM has a fault with."""
-    seen = []
+async def test_failing_subscriber_does_not_stop_the_others(machine):
+    """One subscriber raises on a new state; the others still receive it."""
+    received_states = []
 
     def fail(state):
-        raise KeyError('a fault of ours')
+        raise KeyError('injected fault')
 
     machine.subscribe(fail)
-    machine.subscribe(seen.append)
-    outcome = await machine.propose(accept(1))
+    machine.subscribe(received_states.append)
+    outcome = await machine.propose(accept_command(1))
     assert outcome.is_ok()
-    assert len(seen) == 1
+    assert len(received_states) == 1
 
 
-async def test_failed_work_is_logged_and_begins_anew(capsys):
-    """A message that a part has a fault with, and nobody sees it."""
+async def test_failed_background_task_can_be_started_again(capsys):
+    """The exception is handled within the task; the next run starts anew."""
     calls = []
 
     async def fail():
         calls.append(1)
-        raise KeyError('a fault of ours')
+        raise KeyError('injected fault')
 
     background = BackgroundTasks()
     for _ in range(2):
--- a/godwitshunt/configuration/tests/test_malformed_messages.py
+++ b/godwitshunt/configuration/tests/test_malformed_messages.py
@@ -1,4 +1,4 @@
-"""Messages that are not whole, from a peer of another version or broken."""
+"""Tests of messages that are malformed or of another version."""
 
 from contextlib import suppress
 
@@ -31,14 +31,14 @@
 @pytest.fixture
 async def deployment():
     """Yield a control replica and a VM that has a revision."""
-    made = Deployment()
-    made.add_control('c1', 'zagreb')
-    made.add_vm('e1', 'zagreb', 201)
-    await made.run(2)
-    await made.accept(manifest())
-    await made.run(2)
-    yield made
-    await made.close()
+    running = Deployment()
+    running.add_control('c1', 'zagreb')
+    running.add_vm('e1', 'zagreb', 201)
+    await running.run(2)
+    await running.accept(manifest())
+    await running.run(2)
+    yield running
+    await running.close()
 
 
 @given(st.lists(BODIES, min_size=1, max_size=5))
@@ -49,10 +49,10 @@
     suppress_health_check=[HealthCheck.function_scoped_fixture],
 )
 async def test_malformed_messages_change_nothing(deployment, bodies):
-    """A peer sends messages that are cut, empty or of another kind.
+    """A peer sends messages that are truncated, empty or of another kind.
 
-    Each is refused with the one error that the links expect; what is in
-    force stays, and the next good news is still taken.
+    Each raises FrameError, which the links expect, or is ignored. The active
+    revision stays, and later valid updates are applied.
     """
     before = deployment.revisions()
     for body in bodies:
--- a/godwitshunt/configuration/tests/test_operator_api.py
+++ b/godwitshunt/configuration/tests/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The border with operators: what is refused, and how it is told."""
+"""Tests of the operator API: refusals, forwarding, probes and TLS."""
 
 import hashlib
 import json
@@ -27,16 +27,18 @@
 @pytest.fixture
 async def deployment():
     """Yield two control replicas over one log."""
-    made = Deployment()
-    made.add_control('c1', 'zagreb')
-    made.add_control('c2', 'split', 1)
-    await made.run(2)
-    yield made
-    await made.close()
-
-
-async def ask(deployment, method, path, body=b'', token=TOKEN, at='c1'):
-    """Make a call; return its status and document."""
+    running = Deployment()
+    running.add_control('c1', 'zagreb')
+    running.add_control('c2', 'split', 1)
+    await running.run(2)
+    yield running
+    await running.close()
+
+
+async def send_request(
+    deployment, method, path, body=b'', token=TOKEN, replica='c1'
+):
+    """Send a request to a replica; return the status and the JSON document."""
     apis = {
         name: OperatorApi(service, TOKEN_SHA256)
         for name, service in deployment.services.items()
@@ -44,7 +46,7 @@
     for api in apis.values():
         api.start()
     request = OperatorRequest(method, path, token, body)
-    answer = await apis[at].handle(request)
+    answer = await apis[replica].handle(request)
     if answer.content_type.startswith('text/plain'):
         return answer.status, {}
     return answer.status, json.loads(answer.body)
@@ -66,84 +68,90 @@
         ('GET', '/v2', b'', TOKEN, 404, 'not-found'),
     ],
 )
-async def test_refusals(deployment, method, path, body, token, status, slug):
-    """A stranger or a mistaken pipeline sends something else.
+async def test_invalid_requests_are_refused(
+    deployment, method, path, body, token, status, slug
+):
+    """A request has no valid token, body or path.
 
-    It is told what is wrong by a type, and nothing changes.
+    The problem type tells which, and the state does not change.
     """
     before = deployment.services['c1'].state
-    told, problem = await ask(deployment, method, path, body, token)
-    assert told == status
+    actual_status, problem = await send_request(
+        deployment, method, path, body, token
+    )
+    assert actual_status == status
     assert problem['type'].endswith(f':{slug}')
     assert problem['outcome'] == 'not-run'
     assert TOKEN_SHA256 not in json.dumps(problem)
     assert deployment.services['c1'].state == before
 
 
-async def test_every_wrong_field_is_named(deployment):
-    """A manifest has several mistakes; the pipeline shows all at once."""
+async def test_problem_names_every_invalid_field(deployment):
+    """A manifest with several errors is answered with all of them at once."""
     body = json.dumps({'number': 0, 'colour': 'red'}).encode()
-    _, problem = await ask(deployment, 'POST', '/v1/manifest', body)
-    fields = {one['field'] for one in problem['problems']}
+    _, problem = await send_request(deployment, 'POST', '/v1/manifest', body)
+    fields = {entry['field'] for entry in problem['problems']}
     assert {'number', 'colour', 'regions'} <= fields
 
 
-async def test_follower_passes_calls_on(deployment):
-    """The pipeline reaches only a replica that does not lead.
+async def test_follower_forwards_requests_to_the_leader(deployment):
+    """The client reaches only a follower.
 
-    The leader's answer comes back through it; without a leader the refusal
-    says that nothing was changed.
+    The follower returns the answer of the leader. Without a leader, the
+    refusal says that nothing was changed.
     """
     follower = deployment.services['c2']
     follower.log = deployment.follower_log
     follower.machine.log = deployment.follower_log
-    status, answer = await ask(
+    status, answer = await send_request(
         deployment,
         'POST',
         '/v1/manifest',
         VALID,
-        at='c2',
+        replica='c2',
     )
     assert (status, answer['outcome']) == (200, 'accepted')
     deployment.log.leading = False
-    status, problem = await ask(
+    status, problem = await send_request(
         deployment,
         'POST',
         '/v1/manifest',
         VALID,
-        at='c2',
+        replica='c2',
     )
     assert (status, problem['outcome']) == (503, 'not-run')
 
 
-async def test_open_paths_need_no_token(deployment):
-    """Probes and the metrics' scraper hold no token."""
+async def test_probes_and_metrics_need_no_token(deployment):
+    """Health probes and the metrics scraper have no token."""
     for path in ('/healthz', '/readyz', '/metrics'):
-        status, _ = await ask(deployment, 'GET', path, token='')
+        status, _ = await send_request(deployment, 'GET', path, token='')
         assert status == 200
     deployment.log.leading = False
-    status, answer = await ask(deployment, 'GET', '/readyz', token='')
+    status, answer = await send_request(deployment, 'GET', '/readyz', token='')
     assert (status, answer) == (503, {'ready': False})
-    assert (await ask(deployment, 'GET', '/healthz', token=''))[0] == 200
+    assert (await send_request(deployment, 'GET', '/healthz', token=''))[
+        0
+    ] == 200
 
 
 async def test_explain_and_status(deployment):
-    """An operator asks why a request would go where, and who has what."""
-    await ask(deployment, 'POST', '/v1/manifest', VALID)
-    asked = {'caller': 'site', 'service': 'chat', 'model': 'review'}
-    body = json.dumps(asked).encode()
-    _, told = await ask(deployment, 'POST', '/v1/explain', body)
-    assert told['allowed_regions'] == ['split', 'zagreb']
-    assert told['residency_rule'] == 'both'
-    _, status = await ask(deployment, 'GET', '/v1/status')
+    """Operators query the regions of a request and the revision of each VM."""
+    await send_request(deployment, 'POST', '/v1/manifest', VALID)
+    query = {'caller': 'site', 'service': 'chat', 'model': 'review'}
+    body = json.dumps(query).encode()
+    _, explanation = await send_request(deployment, 'POST', '/v1/explain', body)
+    assert explanation['allowed_regions'] == ['split', 'zagreb']
+    assert explanation['residency_rule'] == 'both'
+    _, status = await send_request(deployment, 'GET', '/v1/status')
     assert status['number'] == 1
     assert set(status['vms']) == {'c1', 'c2'}
 
 
-async def test_operators_over_tls(deployment, tmp_path):
-    """The replicas have certificates; the token must not go in clear text.
+async def test_operator_api_over_tls(deployment, tmp_path):
+    """The API is served over TLS, as the token must not go in clear text.
 
-    A client that trusts another authority, or talks plain HTTP, gets nothing.
+    A client that trusts another authority, or uses plain HTTP, gets an error.
     """
     authority = trustme.CA()
     address = free_address()
--- a/godwitshunt/configuration/tests/test_problems.py
+++ b/godwitshunt/configuration/tests/test_problems.py
@@ -1,4 +1,4 @@
-"""What operators are told of commands that were never proposed."""
+"""Tests of the problem documents of commands that were not proposed."""
 
 import pytest
 
@@ -25,10 +25,11 @@
         EntryTooLarge(9, 8),
     ],
 )
-def test_change_that_was_not_begun_is_told_as_such(failure):
-    """An operator repairs a replica while another change is under way.
+def test_refused_change_is_reported_as_not_run(failure):
+    """A membership change is refused, for instance during another one.
 
-    Told *unknown*, the operator would look for a change that never began.
+    If the outcome were *unknown*, the operator would look for a change that
+    never began.
     """
     problem = problem_of(failure)
     assert problem.outcome == 'not-run'
--- a/godwitshunt/configuration/tests/test_revision_file.py
+++ b/godwitshunt/configuration/tests/test_revision_file.py
@@ -1,4 +1,4 @@
-"""The newest revision on a VM's disk, torn, damaged or not writable."""
+"""Tests of the revision file when it is incomplete, damaged or unwritable."""
 
 import pytest
 
@@ -9,8 +9,8 @@
 from godwitshunt.exceptions import StorageError
 
 
-def held(number: int) -> DocumentRevision:
-    """Return a revision."""
+def make_revision(number: int) -> DocumentRevision:
+    """Return a revision of the manifest with this number."""
     document = document_of(manifest(number))
     return DocumentRevision(number, digest_of(document), document)
 
@@ -18,51 +18,51 @@
 @pytest.mark.parametrize(
     'damage',
     [
-        lambda whole: whole[:-1],
-        lambda whole: whole[:10],
-        lambda whole: b'',
-        lambda whole: b'?'.join((whole[:40], whole[41:])),
-        lambda whole: b''.join((b'XXXX', whole[4:])),
-        lambda whole: b''.join((whole, b'?')),
+        lambda written: written[:-1],
+        lambda written: written[:10],
+        lambda written: b'',
+        lambda written: b'?'.join((written[:40], written[41:])),
+        lambda written: b''.join((b'XXXX', written[4:])),
+        lambda written: b''.join((written, b'?')),
     ],
 )
-def test_damaged_file_is_no_revision(tmp_path, damage):
-    """Power is lost in a write, or the disk returns other bytes.
+def test_damaged_file_is_ignored(tmp_path, damage):
+    """A power failure interrupts a write, or the disk returns other bytes.
 
-    Half a configuration must never come into force; the VM starts without.
+    The VM must start without a revision rather than with part of one.
     """
-    kept = RevisionFile(tmp_path)
-    kept.write(held(1))
+    revision_file = RevisionFile(tmp_path)
+    revision_file.write(make_revision(1))
     path = tmp_path / FILE_NAME
     path.write_bytes(damage(path.read_bytes()))
-    assert kept.read() is None
-    kept.write(held(2))
-    assert kept.read().digest == held(2).digest
+    assert revision_file.read() is None
+    revision_file.write(make_revision(2))
+    assert revision_file.read().digest == make_revision(2).digest
 
 
-def test_crash_before_the_rename_leaves_the_older_one(tmp_path):
-    """The VM crashes while it writes a newer revision beside the older."""
-    kept = RevisionFile(tmp_path)
-    kept.write(held(1))
+def test_crash_before_the_rename_keeps_the_older_revision(tmp_path):
+    """The VM crashes while it writes a newer revision to a temporary file."""
+    revision_file = RevisionFile(tmp_path)
+    revision_file.write(make_revision(1))
     (tmp_path / FILE_NAME).with_suffix('.new').write_bytes(b'half')
-    assert kept.read().digest == held(1).digest
+    assert revision_file.read().digest == make_revision(1).digest
 
 
-async def test_unwritable_disk_keeps_no_revision_from_being_in_force(tmp_path):
-    """The VM's disk is full or read-only when a change comes.
+async def test_revision_is_active_if_the_disk_is_unwritable(tmp_path):
+    """The disk of the VM is full or read-only when a new revision arrives.
 
-    The change is in force all the same, and the failure is counted.
+    The revision becomes active, and the failed write is counted.
     """
-    blocked = tmp_path / 'file'
-    blocked.write_bytes(b'')
-    kept = RevisionFile(blocked)
+    not_a_folder = tmp_path / 'file'
+    not_a_folder.write_bytes(b'')
+    revision_file = RevisionFile(not_a_folder)
     with pytest.raises(StorageError):
-        kept.write(held(1))
+        revision_file.write(make_revision(1))
     deployment = Deployment()
     deployment.add_control('c1', 'zagreb')
     deployment.add_vm('e1', 'zagreb', 201)
     task = deployment.tasks['e1']
-    task.revision_file = kept
+    task.revision_file = revision_file
     await deployment.run(2)
     await deployment.accept(manifest())
     await deployment.run(2)
--- a/godwitshunt/configuration/tests/test_schedules.py
+++ b/godwitshunt/configuration/tests/test_schedules.py
@@ -1,6 +1,7 @@
-"""Seeded schedules of cuts, lags, restarts and changes; promises after each.
+"""Random schedules of partitions, lag, restarts and manifest changes.
 
-``GODWITSHUNT_SCHEDULES=200`` runs more of them than CI does.
+Each seed gives one schedule; invariants are checked during all of it.
+``GODWITSHUNT_SCHEDULES=200`` runs 200 seeds in place of 10.
 """
 
 import os
@@ -22,52 +23,52 @@
 from godwitshunt.manifest import Manifest, allowed_regions
 
 LEASE_S = 3
-STEPS = 40
-SCHEDULES = int(os.environ.get('GODWITSHUNT_SCHEDULES', '10'))
-# These showed faults: a later number that did not wait for what an earlier
-# one waited for; a restart without a disk that began with what a lagging
-# replica said; a VM that served before it was listed.
-FOUND = (10, 16, 132)
-RULES = ('both', 'home', 'away', None)
+STEP_COUNT = 40
+SCHEDULE_COUNT = int(os.environ.get('GODWITSHUNT_SCHEDULES', '10'))
+# Seeds that found faults: a later manifest that did not wait for the VMs that
+# an earlier one waited for; a diskless restart that accepted the revision of
+# a lagging replica; a VM that served before it was listed.
+FAULTY_SEEDS = (10, 16, 132)
+RESIDENCY_RULES = ('both', 'home', 'away', None)
 VMS = (('e1', 'zagreb', 201), ('e2', 'split', 203), ('e3', 'split', 205))
 
 
 class FollowerLog(SingleLog):
-    """A follower whose entries come late, while its leader's proof is new."""
+    """Log of a follower that may lag although its proof is always recent."""
 
     def __init__(self, leader: SingleLog) -> None:
         super().__init__('c2')
         self.leading = False
-        self.late: list[bytes] = []
+        self.undelivered: list[bytes] = []
         self.lagging = False
-        leader.subscribe(self.take)
+        leader.subscribe(self.receive_entry)
 
-    def take(self, index: int, term: int, payload: bytes) -> None:
-        """Get one entry of the leader."""
-        self.late.append(payload)
+    def receive_entry(self, index: int, term: int, payload: bytes) -> None:
+        """Queue an entry of the leader, and apply it unless lagging."""
+        self.undelivered.append(payload)
         self.deliver()
 
     def deliver(self) -> None:
-        """Apply what has come, unless this replica lags."""
-        while self.late and not self.lagging:
-            payload = self.late.pop(0)
+        """Apply the undelivered entries, unless this replica lags."""
+        while self.undelivered and not self.lagging:
+            payload = self.undelivered.pop(0)
             for apply in self.subscribers:
                 apply(0, 1, payload)
 
     def leadership(self) -> Leadership:
-        """Tell a proof that is new, as a follower does that lacks entries."""
+        """Return a recent proof, as a follower has that lacks entries."""
         return Leadership('c1', 1, False, 0, 0)
 
 
 @dataclass
 class Schedule:
-    """One run, and what it has to remember for its checks."""
+    """One random run, with the history that its checks need."""
 
     seed: int
     folder: object
     deployment: Deployment = field(default_factory=Deployment)
     commits: list[tuple[float, int]] = field(default_factory=list)
-    newest_seen: dict[str, int] = field(default_factory=dict)
+    highest_revisions: dict[str, int] = field(default_factory=dict)
     accepted: dict[int, tuple[int, Manifest]] = field(default_factory=dict)
     number: int = 0
 
@@ -80,32 +81,32 @@
         self.deployment.log = self.follower
         self.deployment.add_control('c2', 'split', 1)
         self.deployment.log = leader_log
-        self.deployment.services['c1'].machine.subscribe(self.note_commit)
+        self.deployment.services['c1'].machine.subscribe(self.record_commit)
         for name, region, port in VMS:
             self.start_vm(name, region, port)
 
     def start_vm(self, name: str, region: str, port: int) -> None:
-        """Start a VM; e2 has a disk, e3 knows e2 as its peer."""
-        more = {}
+        """Start a VM; e2 has a disk, and e3 has e2 as its peer."""
+        options = {}
         if name == 'e2':
-            more['kept'] = RevisionFile(self.folder)
+            options['revision_file'] = RevisionFile(self.folder)
         if name == 'e3':
-            more['peers'] = (self.deployment.tasks['e2'].record.peer,)
-        self.deployment.add_vm(name, region, port, **more)
+            options['peers'] = (self.deployment.tasks['e2'].record.peer,)
+        self.deployment.add_vm(name, region, port, **options)
 
-    def note_commit(self, state) -> None:
-        """Remember when each revision was committed."""
+    def record_commit(self, state) -> None:
+        """Record the time at which a revision was committed."""
         self.commits.append((self.deployment.timer.now(), state.revision))
 
     async def step(self) -> None:
-        """Do one thing at random, then let time pass."""
+        """Perform a random event, then let time pass and check."""
         match self.random.randrange(6):
             case 0 | 1:
-                await self.change()
+                await self.send_manifest()
             case 2:
-                self.cut()
+                self.partition()
             case 3:
-                self.deployment.network.cut.clear()
+                self.deployment.network.partitioned.clear()
             case 4:
                 self.follower.lagging = not self.follower.lagging
                 self.follower.deliver()
@@ -115,10 +116,10 @@
             await self.deployment.run(0.1)
             self.check()
 
-    async def change(self) -> None:
-        """Send a manifest, or send the last one again."""
-        again = self.number and self.random.randrange(5) < 2
-        if not again:
+    async def send_manifest(self) -> None:
+        """Send a new manifest, or resend the last one."""
+        is_resend = self.number and self.random.randrange(5) < 2
+        if not is_resend:
             self.number += 1
             self.document = manifest(
                 self.number,
@@ -128,84 +129,94 @@
                     {'name': 'away', 'regions': ['split']},
                 ],
                 callers=[
-                    caller('site', self.random.choice(RULES)),
-                    caller('office', self.random.choice(RULES), 'split'),
+                    caller('site', self.random.choice(RESIDENCY_RULES)),
+                    caller(
+                        'office', self.random.choice(RESIDENCY_RULES), 'split'
+                    ),
                 ],
             )
         outcome = await self.deployment.accept(self.document)
         if isinstance(outcome, Accepted):
-            told = (outcome.revision, self.document)
-            self.accepted[outcome.number] = told
+            accepted_manifest = (outcome.revision, self.document)
+            self.accepted[outcome.number] = accepted_manifest
 
-    def cut(self) -> None:
-        """Cut one way between two processes."""
+    def partition(self) -> None:
+        """Partition two processes in one direction or in both."""
         tasks = self.deployment.tasks.values()
         addresses = [task.record.peer for task in tasks]
-        one = self.random.choice(addresses)
-        other = self.random.choice((*self.deployment.control, *addresses))
-        self.deployment.network.cut |= {(one, other)}
+        source = self.random.choice(addresses)
+        target = self.random.choice((*self.deployment.control, *addresses))
+        self.deployment.network.partitioned |= {(source, target)}
         if self.random.randrange(2):
-            self.deployment.network.cut |= {(other, one)}
+            self.deployment.network.partitioned |= {(target, source)}
 
     async def restart(self) -> None:
-        """Restart a VM; without a disk it has forgotten everything."""
+        """Restart a VM; without a disk it loses its revision."""
         name, region, port = self.random.choice(VMS)
         await self.deployment.tasks[name].close()
         if name != 'e2':
-            self.newest_seen.pop(name, None)
+            self.highest_revisions.pop(name, None)
         self.start_vm(name, region, port)
 
     def check(self) -> None:
-        """Check what must hold at every moment."""
+        """Check the invariants that hold at any time."""
         now = self.deployment.timer.now()
         for name, task in self.deployment.tasks.items():
             if task.current is None:
                 continue
             revision = task.current.revision
-            assert revision >= self.newest_seen.get(name, 0), 'reverted'
-            self.newest_seen[name] = revision
+            assert revision >= self.highest_revisions.get(name, 0), 'reverted'
+            self.highest_revisions[name] = revision
             proof_at = now - task.quorum_age_s()
-            older = [one for at, one in self.commits if at < proof_at]
-            assert revision >= max(older, default=0), 'proof without revision'
+            committed_before = [
+                committed_revision
+                for committed_at, committed_revision in self.commits
+                if committed_at < proof_at
+            ]
+            assert revision >= max(committed_before, default=0), (
+                'proof without revision'
+            )
             self.check_residency(task)
 
     def check_residency(self, task) -> None:
-        """Check that no VM serves against an accepted manifest."""
+        """Check that a VM serves no caller that an accepted manifest excludes."""
         region = task.record.region
         isolated = task.quorum_age_s() > LEASE_S
         for revision, document in self.accepted.values():
             if task.current.revision >= revision:
                 continue
-            for one in document.callers:
-                if region in allowed_regions(document, one):
+            for declared in document.callers:
+                if region in allowed_regions(document, declared):
                     continue
                 served = serves(
-                    task.current.manifest, one.name, region, isolated
+                    task.current.manifest, declared.name, region, isolated
                 )
-                assert not served, f'{one.name} is served in {region}'
+                assert not served, f'{declared.name} is served in {region}'
 
 
-def serves(held: Manifest, name: str, region: str, isolated: bool) -> bool:
-    """Tell whether a VM with a manifest serves a caller in its region."""
-    found = next(one for one in held.callers if one.name == name)
-    if isolated and found.residency is not None and found.home != region:
+def serves(active: Manifest, name: str, region: str, isolated: bool) -> bool:
+    """Return whether a VM with this manifest serves a caller in its region."""
+    declared = next(entry for entry in active.callers if entry.name == name)
+    if isolated and declared.residency is not None and declared.home != region:
         return False
-    return region in allowed_regions(held, found)
+    return region in allowed_regions(active, declared)
 
 
-@pytest.mark.parametrize('seed', sorted({*FOUND, *range(SCHEDULES)}))
-async def test_promises_hold_on_every_schedule(seed, tmp_path):
-    """Links are cut one way or both, a follower lags, VMs restart.
+@pytest.mark.parametrize(
+    'seed', sorted({*FAULTY_SEEDS, *range(SCHEDULE_COUNT)})
+)
+async def test_invariants_hold_in_random_schedules(seed, tmp_path):
+    """Links are partitioned, a follower lags, VMs restart, manifests change.
 
-    Meanwhile operators take regions from callers and give them back. At no
-    moment does a revision fall, does a VM hold a proof of a quorum without
-    every earlier commit, or is a caller served where an accepted manifest
-    forbids it.
+    The revision of a VM never decreases. A VM with a proof of the quorum has
+    every revision committed before that proof. No caller is served in a
+    region that an accepted manifest forbids. After the faults end, all VMs
+    have the newest revision.
     """
     schedule = Schedule(seed, tmp_path)
-    for _ in range(STEPS):
+    for _ in range(STEP_COUNT):
         await schedule.step()
-    schedule.deployment.network.cut.clear()
+    schedule.deployment.network.partitioned.clear()
     schedule.follower.lagging = False
     schedule.follower.deliver()
     await schedule.deployment.run(15)
--- a/godwitshunt/configuration/tests/test_state.py
+++ b/godwitshunt/configuration/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The control state: one contents a number, orders once, snapshots whole."""
+"""Tests of the control state: manifest numbers, orders and snapshots."""
 
 from dataclasses import asdict, replace
 
@@ -35,15 +35,20 @@
 from godwitshunt.manifest import manifest_digest
 
 
-def accept(number: int, cost: float = 0, base: str = '') -> AcceptManifest:
-    """Return a command; another cost gives other contents."""
+def accept_command(
+    number: int, cost: float = 0, base: str = ''
+) -> AcceptManifest:
+    """Return a command; `cost` varies the manifest of a number."""
     document = document_of(manifest(number, objective={'cost': cost}))
     digest = manifest_digest_of(document)
     return AcceptManifest(number, digest, base, pack_document(document))
 
 
-def run(state: ControlState, *commands, compacted: bool = False):
-    """Apply commands in order; return the state and the last outcome."""
+def apply_all(state: ControlState, *commands, compacted: bool = False):
+    """Apply commands in order; return the state and the last outcome.
+
+    With `compacted`, the state goes through a snapshot after each command.
+    """
     outcome = None
     for command in commands:
         payload = encode_command(command)[1]
@@ -53,20 +58,21 @@
     return state, outcome
 
 
-@pytest.mark.parametrize('later', [0, 1, 300])
+@pytest.mark.parametrize('later_count', [0, 1, 300])
 @pytest.mark.parametrize('compacted', [False, True])
-def test_resend_gets_the_first_answer(later, compacted):
-    """An operator loses the answer and sends the manifest again.
+def test_resent_manifest_gets_the_first_answer(later_count, compacted):
+    """An operator does not receive the answer and resends the manifest.
 
-    Meanwhile others made changes, and the log was compacted. He is told the
-    first revision and what superseded it, and nothing changes.
+    In between, others made changes and the log was compacted. The answer
+    names the first revision and the number that superseded it; the state
+    does not change.
     """
-    state, first = run(ControlState(), accept(1))
-    changes = [accept(number) for number in range(2, later + 2)]
-    state, _ = run(state, *changes, compacted=compacted)
-    same, again = run(state, accept(1), compacted=compacted)
-    superseded_by = later + 1 if later else None
-    assert again == Accepted(
+    state, first = apply_all(ControlState(), accept_command(1))
+    changes = [accept_command(number) for number in range(2, later_count + 2)]
+    state, _ = apply_all(state, *changes, compacted=compacted)
+    same, repeated = apply_all(state, accept_command(1), compacted=compacted)
+    superseded_by = later_count + 1 if later_count else None
+    assert repeated == Accepted(
         1,
         first.digest,
         first.revision,
@@ -77,105 +83,131 @@
 
 
 @pytest.mark.parametrize(
-    ('taken', 'sent', 'expected'),
+    ('accepted', 'sent', 'expected'),
     [
-        ([accept(1)], accept(1, cost=2), (NumberConflict, 1)),
-        ([accept(1), accept(7)], accept(5), (NumberConflict, 7)),
-        ([accept(1), accept(7)], accept(1, cost=2), (NumberConflict, 1)),
-        ([accept(1), accept(5000)], accept(1), (NumberTooOld, 905)),
-        ([accept(1), accept(5000)], accept(905), (NumberConflict, 5000)),
-        ([accept(1)], accept(2, base='another'), (BaseChanged, None)),
+        ([accept_command(1)], accept_command(1, cost=2), (NumberConflict, 1)),
+        (
+            [accept_command(1), accept_command(7)],
+            accept_command(5),
+            (NumberConflict, 7),
+        ),
+        (
+            [accept_command(1), accept_command(7)],
+            accept_command(1, cost=2),
+            (NumberConflict, 1),
+        ),
+        (
+            [accept_command(1), accept_command(5000)],
+            accept_command(1),
+            (NumberTooOld, 905),
+        ),
+        (
+            [accept_command(1), accept_command(5000)],
+            accept_command(905),
+            (NumberConflict, 5000),
+        ),
+        (
+            [accept_command(1)],
+            accept_command(2, base='another'),
+            (BaseChanged, None),
+        ),
     ],
 )
-def test_number_that_cannot_be_taken(taken, sent, expected):
-    """Two operators race, or one sends a number that lies behind.
+def test_conflicting_or_old_number_is_refused(accepted, sent, expected):
+    """Two operators send at once, or one sends an outdated number.
 
-    Only one contents belongs to a number; the loser is told who won.
+    A number stands for one manifest; the refusal names the number that won
+    or the oldest one still known.
     """
-    state, _ = run(ControlState(), *taken)
-    same, outcome = run(state, sent)
-    kind, told = expected
-    assert isinstance(outcome, kind)
+    state, _ = apply_all(ControlState(), *accepted)
+    same, outcome = apply_all(state, sent)
+    outcome_type, expected_number = expected
+    assert isinstance(outcome, outcome_type)
     assert same == state
     fields = asdict(outcome)
-    assert told in {
+    assert expected_number in {
         fields.get('winner_number'),
         fields.get('oldest_known'),
     }
 
 
-def test_body_of_another_digest_changes_nothing():
-    """A proposing replica with a fault commits a body and a wrong digest.
+def test_body_that_does_not_match_its_digest_is_refused():
+    """A faulty leader commits a body with the digest of another one.
 
-    Every replica refuses it alike; otherwise VMs would run a manifest that
-    no operator sent.
+    Each replica refuses the command; otherwise VMs would apply a manifest
+    that no operator sent.
     """
-    bad = AcceptManifest(1, 'f' * 64, '', accept(1).body)
-    state, outcome = run(ControlState(), bad)
+    mismatched = AcceptManifest(1, 'f' * 64, '', accept_command(1).body)
+    state, outcome = apply_all(ControlState(), mismatched)
     assert isinstance(outcome, ManifestUnreadable)
     assert state == ControlState()
 
 
-def test_cheap_digest_equals_the_manifest_digest():
-    """Replicas check a delta by the same digest that operators compute."""
+def test_document_digest_equals_the_manifest_digest():
+    """Replicas verify a document by the digest that operators compute."""
     document = document_of(manifest())
     assert manifest_digest_of(document) == manifest_digest(manifest())
     assert revision_of(3, document).manifest == manifest()
 
 
-def test_vms_and_holders_keep_the_last_generations():
-    """Holders change often while keys of earlier generations are in use.
+def test_last_holder_generations_are_retained():
+    """Claim holders change often while older keys are still in use.
 
     The last eight generations stay listed, so that their claims are found.
     """
-    state, _ = run(
-        ControlState(), accept(1), ChangeVms((vm('e1', 'split', 1),))
+    state, _ = apply_all(
+        ControlState(), accept_command(1), ChangeVms((vm('e1', 'split', 1),))
     )
     names = [('e1',), ('e1', 'e2'), ('e2',), ('e2',), ('e3',), ('e4',)]
     names += [('e5',), ('e6',), ('e7',), ('e8',)]
-    for chosen in names:
-        state, _ = run(state, ChangeHolders('split', chosen))
+    for holder_names in names:
+        state, _ = apply_all(state, ChangeHolders('split', holder_names))
     holders = revision_of(state.revision, state.document).holders
-    assert [one.generation for one in holders] == [2, 3, 4, 5, 6, 7, 8, 9]
-    same, outcome = run(state, ChangeHolders('split', ('e8',)))
+    assert [listed.generation for listed in holders] == [2, 3, 4, 5, 6, 7, 8, 9]
+    same, outcome = apply_all(state, ChangeHolders('split', ('e8',)))
     assert same == state
     assert outcome == Applied(state.revision)
 
 
-def test_orders_are_numbered_once():
-    """An order's answer is lost and it is asked for again by its name.
+def test_repeated_order_keeps_its_fencing_number():
+    """The answer to an order is lost, and the order is sent again.
 
-    It keeps its fencing number; another order under the name is refused.
+    It keeps its fencing number; another order of the same name is refused.
     """
     first = IssueOrder('o1', 'engine-1', 'load', 'review', 3)
     other = IssueOrder('o2', 'engine-1', 'load', 'other', 2)
-    state, issued = run(ControlState(), first)
-    state, later = run(state, other)
-    state, again = run(state, first, compacted=True)
-    assert (issued.fencing, later.fencing, again.fencing) == (1, 2, 1)
-    assert again.repeated
+    state, issued = apply_all(ControlState(), first)
+    state, second_issued = apply_all(state, other)
+    state, repeated = apply_all(state, first, compacted=True)
+    assert (issued.fencing, second_issued.fencing, repeated.fencing) == (
+        1,
+        2,
+        1,
+    )
+    assert repeated.repeated
     assert state.weight_units == 5
-    clash = IssueOrder('o1', 'engine-2', 'load', 'review', 3)
-    assert run(state, clash) == (state, OrderConflict('o1'))
+    conflicting = IssueOrder('o1', 'engine-2', 'load', 'review', 3)
+    assert apply_all(state, conflicting) == (state, OrderConflict('o1'))
 
 
-def test_restarted_holder_begins_a_new_generation():
-    """A holder's process restarts and has forgotten votes of its keys.
+def test_restarted_holder_starts_a_new_generation():
+    """The process of a claim holder restarts and has lost its votes.
 
     A new generation lists its new session, so that it votes on new keys at
-    once; the old generation keeps the old session, in which it must abstain.
+    once. The old generation keeps the old session, so that the holder
+    abstains for older keys.
     """
     first = replace(vm('e1', 'split', 1), session='before')
-    again = replace(first, session='after')
-    state, _ = run(
+    restarted = replace(first, session='after')
+    state, _ = apply_all(
         ControlState(),
-        accept(1),
+        accept_command(1),
         ChangeVms((first,)),
         ChangeHolders('split', ('e1',)),
-        ChangeVms((again,)),
+        ChangeVms((restarted,)),
         ChangeHolders('split', ('e1',)),
         ChangeHolders('split', ('e1',)),
     )
     holders = revision_of(state.revision, state.document).holders
-    sessions = [(one.generation, one.sessions) for one in holders]
+    sessions = [(listed.generation, listed.sessions) for listed in holders]
     assert sessions == [(1, ('before',)), (2, ('after',))]
--- a/godwitshunt/configuration/tests/test_sync_state.py
+++ b/godwitshunt/configuration/tests/test_sync_state.py
@@ -1,4 +1,4 @@
-"""Deltas give the same document, and news in any order never goes back."""
+"""Tests of deltas and of applying updates in any order."""
 
 import pytest
 from hypothesis import given, settings
@@ -40,49 +40,55 @@
 
 @given(documents, documents)
 @SETTINGS
-def test_delta_gives_the_target(base, target):
-    """Whatever entries change, move, come or go, the digests agree."""
+def test_patch_with_delta_gives_the_target(base, target):
+    """Entries may change, move, be added or be removed."""
     delta = unpack(pack(diff(base, target))).ok_value
     assert digest_of(patch(base, delta).ok_value) == digest_of(target)
 
 
 @given(st.lists(documents, min_size=2, max_size=8), st.data())
 @SETTINGS
-def test_news_out_of_order_never_reverts(versions, data):
-    """News is delayed, doubled, lost and overtaken on its way to a VM.
+def test_updates_out_of_order_never_revert(versions, data):
+    """Updates to a VM are delayed, duplicated, lost and reordered.
 
-    The revision in force never falls, every one is a committed one, and after
-    one whole exchange the VM has the newest.
+    Its revision never decreases and is always a committed one. After a
+    complete exchange it is the newest.
     """
     history = RevisionHistory()
     committed = {}
-    sent = []
+    sent_updates = []
     sync_state = SyncState()
     for revision, document in enumerate(versions, start=1):
-        held = DocumentRevision(revision, digest_of(document), document)
-        committed[revision] = held.digest
+        committed_revision = DocumentRevision(
+            revision, digest_of(document), document
+        )
+        committed[revision] = committed_revision.digest
         bases = [0, *history.documents]
-        history.add(held)
-        sent += [history.make_update(base, 0) for base in bases]
-    for news in data.draw(st.lists(st.sampled_from(sent), max_size=12)):
-        before = sync_state.latest.revision if sync_state.latest else 0
-        sync_state, _ = apply_update(sync_state, news, 0)
+        history.add(committed_revision)
+        sent_updates += [history.make_update(base, 0) for base in bases]
+    for update in data.draw(
+        st.lists(st.sampled_from(sent_updates), max_size=12)
+    ):
+        previous_revision = (
+            sync_state.latest.revision if sync_state.latest else 0
+        )
+        sync_state, _ = apply_update(sync_state, update, 0)
         if sync_state.latest:
-            assert sync_state.latest.revision >= before
+            assert sync_state.latest.revision >= previous_revision
             digest = digest_of(sync_state.latest.document)
             assert digest == committed[sync_state.latest.revision]
     for _ in range(2):
-        answer = history.make_update(sync_state.base_revision, 0)
-        sync_state, _ = apply_update(sync_state, answer, 5)
+        reply = history.make_update(sync_state.base_revision, 0)
+        sync_state, _ = apply_update(sync_state, reply, 5)
     assert sync_state.latest.revision == len(versions)
     assert sync_state.proof_at == 5
 
 
-def test_proof_counts_only_with_its_revision():
-    """A VM hears of a live quorum together with a delta that does not fit.
+def test_proof_needs_its_revision():
+    """A VM receives a proof of the quorum with a delta to another base.
 
-    If the proof counted, the VM would serve by an older rule while a change
-    that was committed before the proof is already accepted.
+    If it used the proof, the VM would serve by an older rule although a
+    change that was committed before the proof is already accepted.
     """
     history = RevisionHistory()
     for number in (1, 2):
@@ -96,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    ('age_s', 'asked_at', 'from_peer', 'begins'),
+    ('age_s', 'asked_at', 'from_peer', 'is_accepted'),
     [
         (0, 12, False, True),
         (2, 12, False, True),
@@ -106,20 +112,23 @@
         (-1, 12, True, True),
     ],
 )
-def test_start_without_a_revision(age_s, asked_at, from_peer, begins):
-    """A VM restarts without a disk at second 10 and hears of a revision.
+def test_first_revision_after_diskless_restart(
+    age_s, asked_at, from_peer, is_accepted
+):
+    """A VM restarts without a disk at 10 s and receives an update.
 
-    A control replica that lags may tell of an older one than the VM had in
-    force; only a proof from after the restart, or a peer's word, will do.
+    A lagging control replica may send an older revision than was active on
+    the VM before. The VM accepts one only with a proof from after the
+    restart, or from a peer.
     """
     document = Document({'number': 1}, {})
     history = RevisionHistory()
     history.add(DocumentRevision(1, digest_of(document), document))
-    news = history.make_update(0, age_s)
+    update = history.make_update(0, age_s)
     sync_state, _ = apply_update(
         SyncState(started_at=10),
-        news,
+        update,
         asked_at,
         from_peer=from_peer,
     )
-    assert (sync_state.latest is not None) == begins
+    assert (sync_state.latest is not None) == is_accepted
