--- a/godwitshunt/configuration/tests/fakes.py
+++ b/godwitshunt/configuration/tests/fakes.py
@@ -131,14 +131,18 @@
     follower_log: SingleLog = field(default_factory=make_follower_log)
     services: dict[str, ConfigurationService] = field(default_factory=dict)
     tasks: dict[str, ConfigurationTask] = field(default_factory=dict)
-    control: tuple[Address, ...] = tuple(
+    control_addresses: tuple[Address, ...] = tuple(
         Address(host='127.0.0.1', port=port) for port in (101, 103)
     )
 
     def add_control(self, name: str, region: str, index: int = 0) -> None:
-        record = vm(name, region, self.control[index].port - 1, 'control')
+        record = vm(
+            name, region, self.control_addresses[index].port - 1, 'control'
+        )
         others = tuple(
-            address for address in self.control if address != record.peer
+            address
+            for address in self.control_addresses
+            if address != record.peer
         )
         service = ConfigurationService(
             record,
@@ -155,7 +159,7 @@
         record = vm(name, region, port)
         task = ConfigurationTask(
             record,
-            options.get('control', self.control),
+            options.get('control_addresses', self.control_addresses),
             options.get('peers', ()),
             self.network.links(record.peer),
             self.timer,
@@ -193,5 +197,5 @@
 
     def partition_from_control(self, address: Address) -> None:
         """Partition a process from the control replicas in both directions."""
-        for control in self.control:
+        for control in self.control_addresses:
             self.network.partitioned |= {(address, control), (control, address)}
--- a/godwitshunt/configuration/tests/test_distribution.py
+++ b/godwitshunt/configuration/tests/test_distribution.py
@@ -86,7 +86,7 @@
     deployment.partition_from_control(record.peer)
     await deployment.tasks['e4'].close()
     deployment.add_vm(
-        'e4', 'split', 207, revision_file=revision_file, control=()
+        'e4', 'split', 207, revision_file=revision_file, control_addresses=()
     )
     assert deployment.revisions()['e4'] == newest
     assert deployment.tasks['e4'].quorum_age_s() == float('inf')
@@ -244,7 +244,7 @@
             f'late-{number}',
             'zagreb',
             205 + 2 * number,
-            control=(*unresponsive, deployment.control[0]),
+            control_addresses=(*unresponsive, deployment.control_addresses[0]),
             unlisted=UnlistedStart(),
         )
     await deployment.run(1)
@@ -259,7 +259,7 @@
     that any of them has.
     """
     deployment = Deployment()
-    deployment.control = tuple(
+    deployment.control_addresses = tuple(
         Address(host='127.0.0.1', port=port) for port in (301, 303, 305)
     )
     history = RevisionHistory()
--- a/godwitshunt/configuration/tests/test_operator_api.py
+++ b/godwitshunt/configuration/tests/test_operator_api.py
@@ -20,7 +20,7 @@
 
 TOKEN = 'token'
 TOKEN_SHA256 = hashlib.sha256(TOKEN.encode()).hexdigest()
-VALID = manifest().model_dump_json().encode()
+VALID_MANIFEST = manifest().model_dump_json().encode()
 UNKNOWN_FIELD = b'{"colour": "red"}'
 
 
@@ -55,8 +55,8 @@
 @pytest.mark.parametrize(
     ('method', 'path', 'body', 'token', 'status', 'slug'),
     [
-        ('POST', '/v1/manifest', VALID, 'wrong', 401, 'unauthorized'),
-        ('POST', '/v1/manifest', VALID, '', 401, 'unauthorized'),
+        ('POST', '/v1/manifest', VALID_MANIFEST, 'wrong', 401, 'unauthorized'),
+        ('POST', '/v1/manifest', VALID_MANIFEST, '', 401, 'unauthorized'),
         ('GET', '/v1/status', b'', 'wrong', 401, 'unauthorized'),
         ('POST', '/v1/manifest', b'{', TOKEN, 400, 'invalid-document'),
         ('POST', '/v1/manifest', b'\xff', TOKEN, 400, 'invalid-document'),
@@ -107,7 +107,7 @@
         deployment,
         'POST',
         '/v1/manifest',
-        VALID,
+        VALID_MANIFEST,
         replica='c2',
     )
     assert (status, answer['outcome']) == (200, 'accepted')
@@ -116,7 +116,7 @@
         deployment,
         'POST',
         '/v1/manifest',
-        VALID,
+        VALID_MANIFEST,
         replica='c2',
     )
     assert (status, problem['outcome']) == (503, 'not-run')
@@ -137,7 +137,7 @@
 
 async def test_explain_and_status(deployment):
     """Operators query the regions of a request and the revision of each VM."""
-    await send_request(deployment, 'POST', '/v1/manifest', VALID)
+    await send_request(deployment, 'POST', '/v1/manifest', VALID_MANIFEST)
     query = {'caller': 'site', 'service': 'chat', 'model': 'review'}
     body = json.dumps(query).encode()
     _, explanation = await send_request(deployment, 'POST', '/v1/explain', body)
--- a/godwitshunt/configuration/tests/test_schedules.py
+++ b/godwitshunt/configuration/tests/test_schedules.py
@@ -28,7 +28,7 @@
 # Seeds that found faults: a later manifest that did not wait for the VMs that
 # an earlier one waited for; a diskless restart that accepted the revision of
 # a lagging replica; a VM that served before it was listed.
-FAULTY_SEEDS = (10, 16, 132)
+REGRESSION_SEEDS = (10, 16, 132)
 RESIDENCY_RULES = ('both', 'home', 'away', None)
 VMS = (('e1', 'zagreb', 201), ('e2', 'split', 203), ('e3', 'split', 205))
 
@@ -145,7 +145,9 @@
         tasks = self.deployment.tasks.values()
         addresses = [task.record.peer for task in tasks]
         source = self.random.choice(addresses)
-        target = self.random.choice((*self.deployment.control, *addresses))
+        target = self.random.choice(
+            (*self.deployment.control_addresses, *addresses)
+        )
         self.deployment.network.partitioned |= {(source, target)}
         if self.random.randrange(2):
             self.deployment.network.partitioned |= {(target, source)}
@@ -165,7 +167,9 @@
             if task.current is None:
                 continue
             revision = task.current.revision
-            assert revision >= self.highest_revisions.get(name, 0), 'reverted'
+            assert revision >= self.highest_revisions.get(name, 0), (
+                'revision decreased'
+            )
             self.highest_revisions[name] = revision
             proof_at = now - task.quorum_age_s()
             committed_before = [
@@ -179,7 +183,7 @@
             self.check_residency(task)
 
     def check_residency(self, task) -> None:
-        """Check that a VM serves no caller that an accepted manifest excludes."""
+        """Check that a VM serves no caller against an accepted manifest."""
         region = task.record.region
         isolated = task.quorum_age_s() > LEASE_S
         for revision, document in self.accepted.values():
@@ -203,7 +207,7 @@
 
 
 @pytest.mark.parametrize(
-    'seed', sorted({*FAULTY_SEEDS, *range(SCHEDULE_COUNT)})
+    'seed', sorted({*REGRESSION_SEEDS, *range(SCHEDULE_COUNT)})
 )
 async def test_invariants_hold_in_random_schedules(seed, tmp_path):
     """Links are partitioned, a follower lags, VMs restart, manifests change.
