--- a/godwitshunt/configuration/tests/fakes.py
+++ b/godwitshunt/configuration/tests/fakes.py
@@ -197,5 +197,8 @@
 
     def partition_from_control(self, address: Address) -> None:
         """Partition a process from the control replicas in both directions."""
-        for control in self.control_addresses:
-            self.network.partitioned |= {(address, control), (control, address)}
+        for control_address in self.control_addresses:
+            self.network.partitioned |= {
+                (address, control_address),
+                (control_address, address),
+            }
