--- a/godwitshunt/routing/hashing.py
+++ b/godwitshunt/routing/hashing.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: each key ranks all names, stable under change.
+"""Rendezvous hashing: each key ranks all names.
 
-A name that joins or leaves moves only the keys that rank it first.
+Adding or removing a name only moves the keys that rank it first.
 
 References
 ----------
@@ -11,18 +11,18 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-WORD = (1 << 64) - 1
+WORD_MASK = (1 << 64) - 1
 MULTIPLIER_1 = 0xBF58476D1CE4E5B9
 MULTIPLIER_2 = 0x94D049BB133111EB
-NAMES_KEPT = 8192
+NAME_CACHE_SIZE = 8192
 
 
-@lru_cache(maxsize=NAMES_KEPT)
+@lru_cache(maxsize=NAME_CACHE_SIZE)
 def name_hash(name: str) -> int:
-    """Return 64 bits that stand for a name, the same in every process.
+    """Return a 64-bit hash of a name that is the same in every process.
 
-    Python's own hash of strings differs between processes, and VMs must agree
-    on the owner of a key.
+    Python's built-in hash of strings differs between processes, and VMs must
+    agree on the owner of a key.
     """
     digest = blake2b(name.encode(), digest_size=8).digest()
     return int.from_bytes(digest, 'big')
@@ -31,7 +31,7 @@
 def rank_weight(key: int, name: str) -> int:
     """Return a name's weight for a key; the highest weight owns the key.
 
-    The mixing steps are those of the splitmix64 generator.
+    Uses the mixing steps of the splitmix64 generator.
 
     Examples
     --------
@@ -40,14 +40,14 @@
     >>> rank_weight(1, 'a') == rank_weight(2, 'a')
     False
     """
-    mixed = (key ^ name_hash(name)) & WORD
-    mixed = ((mixed ^ (mixed >> 30)) * MULTIPLIER_1) & WORD
-    mixed = ((mixed ^ (mixed >> 27)) * MULTIPLIER_2) & WORD
+    mixed = (key ^ name_hash(name)) & WORD_MASK
+    mixed = ((mixed ^ (mixed >> 30)) * MULTIPLIER_1) & WORD_MASK
+    mixed = ((mixed ^ (mixed >> 27)) * MULTIPLIER_2) & WORD_MASK
     return mixed ^ (mixed >> 31)
 
 
 def rank_names(key: int, names: tuple[str, ...]) -> tuple[str, ...]:
-    """Return names by falling weight for a key.
+    """Return names by descending weight for a key.
 
     Examples
     --------
