--- a/godwitshunt/settings/__init__.py
+++ b/godwitshunt/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings files of the programs, as validated models."""
+"""Validated models of the settings files."""
 
 from godwitshunt.settings.models import (
     Address,
--- a/godwitshunt/settings/models.py
+++ b/godwitshunt/settings/models.py
@@ -1,4 +1,7 @@
-"""Models of the settings files. Durations are seconds, sizes are bytes."""
+"""Models of the settings files.
+
+Durations are in seconds and sizes in bytes.
+"""
 
 from pathlib import Path
 
@@ -12,7 +15,7 @@
 
 
 class Address(StrictModel):
-    """An IP address and a TCP port to listen on or to reach."""
+    """An IP address and a TCP port to listen on or connect to."""
 
     host: str
     port: int = Field(ge=1, le=65535)
@@ -22,7 +25,7 @@
 
 
 class TlsSettings(StrictModel):
-    """Files of a certificate, its key, and the authority that peers trust."""
+    """Paths of a TLS certificate, its private key and the trusted authority."""
 
     certificate: Path
     key: Path
@@ -30,7 +33,7 @@
 
 
 class LimitSettings(StrictModel):
-    """Bounds on what a process reads from outside."""
+    """Limits on network input of a process."""
 
     header_bytes: int = Field(default=16 * KIBIBYTE, ge=KIBIBYTE)
     body_bytes: int = Field(default=8 * MEBIBYTE, ge=KIBIBYTE)
@@ -41,39 +44,39 @@
 
 
 class LogSettings(StrictModel):
-    """Where log lines go; None is standard error."""
+    """Log file; None for standard error."""
 
     path: Path | None = None
 
 
 class NodeSettings(StrictModel):
-    """What every process of the system is told about itself.
+    """Settings that all programs share.
 
     Parameters
     ----------
     name : str
         The VM's name, unique in the deployment.
     region : str
-        The region it stands in.
+        The VM's region.
     failure_domain : str
-        The failure domain it stands in.
+        The VM's failure domain.
     http : Address
-        Where callers, upstreams and operators reach it.
+        Listening address for callers, upstreams and operators.
     peer : Address
-        Where other processes of the system reach it.
+        Listening address for other processes of the deployment.
     control : tuple of Address
         Peer addresses of the control replicas.
     cluster_key_file : Path
-        File with the key that processes of one deployment share.
+        File with the secret key that all processes of a deployment share.
     data_folder : Path or None
-        Folder for state that must survive; None where the VM has no disk.
+        Folder for persistent state; None if the VM has no disk.
     peers : tuple of Address
-        Peer addresses of other VMs of the region. One that restarts without
-        a disk asks them for the newest revision where no control replica
+        Peer addresses of other VMs of the region. A VM that restarts without
+        a disk requests the newest revision from them if no control replica
         answers.
     http_advertised, peer_advertised : Address or None
-        Where others reach the two listeners, where that is another address
-        than the one listened on (address translation); None where it is not.
+        Addresses that other processes connect to, if they differ from the
+        listening addresses (network address translation); None otherwise.
     """
 
     name: Name
@@ -93,17 +96,17 @@
 
     @property
     def http_endpoint(self) -> Address:
-        """Where others reach the HTTP listener."""
+        """Address at which other processes reach the HTTP listener."""
         return self.http_advertised or self.http
 
     @property
     def peer_endpoint(self) -> Address:
-        """Where others reach the peer listener."""
+        """Address at which other processes reach the peer listener."""
         return self.peer_advertised or self.peer
 
 
 class FirstVoterSettings(StrictModel):
-    """A control replica that a new cluster begins with."""
+    """A control replica that is an initial voter of a new cluster."""
 
     name: Name
     address: Address
@@ -115,16 +118,17 @@
     Parameters
     ----------
     isolation_lease_s : float
-        Seconds without news of a control quorum until the VM holds itself
-        isolated.
+        Seconds without an update from a control quorum after which the VM
+        considers itself isolated.
     upstream_lease_s : float
-        Seconds after the last announcement until an upstream gets no work.
+        Seconds after its last announcement until an upstream gets no more
+        requests.
     drain_limit_s : float or None
-        Seconds after which a graceful shutdown cuts what is in progress;
-        None waits for the end of every request.
+        Seconds after which a graceful shutdown cancels the requests in
+        progress; None to wait until all of them have ended.
     upstream_token_sha256 : str or None
-        SHA-256 of the token that upstreams announce themselves with, in
-        hexadecimal; None takes announcements from everyone who can connect.
+        SHA-256 of the token that authenticates announcements of upstreams,
+        in hexadecimal; None to accept announcements without a token.
     """
 
     isolation_lease_s: float = Field(default=3.0, gt=0, le=10)
@@ -137,30 +141,32 @@
 
 
 class BoundSettings(StrictModel):
-    """What all entry VMs together may do, as the deployment states it.
+    """Limits that hold for all entry VMs of a deployment together.
 
     Parameters
     ----------
     retry_share : float
-        Requests that upstreams of a service get again, as a share of those
-        that callers sent.
+        Largest number of retries to upstreams of a service, as a share of
+        the requests that callers sent.
     retry_allowance : float
-        Requests that they may get again beyond that share.
+        Retries allowed beyond that share.
     retry_window_s : float
-        Length of the sliding window in which both hold, in seconds.
+        Length in seconds of the sliding window over which both are counted.
     cold_factor, cold_allowance : float
-        A cold upstream gets, in any second, at most its stated rate times the
-        factor, plus the allowance.
+        In any second, a cold upstream gets at most its configured rate times
+        the factor, plus the allowance.
     limit_allowance : float
-        Units that an organisation may be admitted in a window of some seconds
-        beyond its limit, for what VMs cannot know of one another at once.
+        Units by which the admitted requests of an organisation may exceed its
+        limit in a window of a few seconds, because VMs learn of each other's
+        admissions with a delay.
     revoke_s : float or None
-        Seconds after the acknowledgement that took a key away in which it
-        ceases to open anything, on every VM, also one that is cut off; None
-        where that is owed only by VMs in touch with a quorum.
+        Seconds, counted from the acknowledgement of a key's revocation, within
+        which every VM, including isolated ones, begins to reject the key;
+        None if this is required only of VMs in contact with a quorum.
     quarantine_s : float
-        Seconds for which a request is not sent, from when the last of three
-        upstreams or more ended under it.
+        Seconds for which a request is not sent to any upstream after it
+        coincided with the termination of three or more upstreams, counted
+        from the last of them.
     """
 
     retry_share: float = Field(default=0.1, ge=0, le=1)
@@ -179,18 +185,19 @@
     Parameters
     ----------
     hop : Address
-        Where entry VMs of other regions hand requests over.
+        Listening address for requests forwarded by entry VMs of other regions.
     domains : dict
         Region of each failure domain of the deployment.
     bounds : BoundSettings
-        What all entry VMs together may do.
+        Limits that hold for all entry VMs together.
     farewell_s : float
-        Seconds for which a VM that is told to stop still takes requests, so
-        that callers with an older directory are served.
+        Seconds for which a VM that is shutting down still accepts requests,
+        to serve callers with an outdated directory.
     drain_limit_s : float
-        Seconds after which a shutdown cuts what is in progress.
+        Seconds after which a shutdown cancels the requests in progress.
     away_s : float
-        Seconds of waiting that serving in the own region is worth.
+        Penalty, in seconds of waiting, for serving a request in another
+        region.
     """
 
     hop: Address
@@ -207,32 +214,35 @@
     Parameters
     ----------
     operator_token_sha256 : str
-        SHA-256 of the token that operators send, in hexadecimal.
+        SHA-256 of the token that authenticates operators, in hexadecimal.
     election_timeout_s : float
-        Shortest time without a leader until a replica asks for votes.
+        Shortest time in seconds without a leader until a replica starts an
+        election.
     weight_store_units_per_s : float
-        Units (loads of weights) that the weight store allows each second, for
-        the whole deployment; the same on every control replica.
+        Units (loads of model weights) per second that the weight store allows
+        for the whole deployment; must be equal on all control replicas.
     weight_store_burst : float
-        Units that it allows at once.
+        Units that the weight store allows in one burst.
     first_voters : tuple of FirstVoterSettings
-        Replicas, this one among them, that a cluster without an operator
-        begins with; the same on each of them, and set only for the first
-        start of the whole deployment. Empty where ``godwitshunt init`` starts
-        the cluster, on every later start, and on replicas that join.
+        Initial voters, including this replica, of a cluster that starts
+        without an operator. Must be equal on all of them and set only for
+        the first start of the deployment. Empty if ``godwitshunt init``
+        starts the cluster, on every later start, and on replicas that join.
     heals : bool
-        True where the leader replaces lost replicas by itself.
+        Whether the leader replaces lost replicas automatically.
     keeps_revision : bool
-        True where a replica keeps its newest committed revision beside the
-        log, and tells VMs of it after a restart before a leader is elected.
+        Whether a replica also stores its newest committed revision outside
+        the log and, after a restart, serves it to VMs before a leader is
+        elected.
     keeps_upstreams : bool
-        True where a replica keeps what it knows of announced upstreams, and
-        tells VMs of them after a restart before they announce themselves.
+        Whether a replica stores the table of announced upstreams and, after
+        a restart, serves it to VMs before the upstreams announce themselves
+        again.
     domains : dict
         Region of each failure domain of the deployment.
     bounds : BoundSettings
-        What all entry VMs together may do; a replica that gives places to
-        those of its region keeps it for them.
+        Limits that hold for all entry VMs together; enforced by the replica
+        that chooses destinations for the entry VMs of its region.
     """
 
     data_folder: Path
--- a/godwitshunt/settings/tests/test_models.py
+++ b/godwitshunt/settings/tests/test_models.py
@@ -1,4 +1,4 @@
-"""Mistakes in settings files get errors that name them."""
+"""Validation of settings files."""
 
 import json
 
@@ -31,20 +31,20 @@
         ({'limits': {'body_bytes': 'much'}}, 'limits.body_bytes'),
     ],
 )
-def test_mistake_names_file_field_and_value(tmp_path, change, field):
-    """An operator mistypes a setting; the process says where and stops."""
+def test_invalid_field_is_reported_with_its_file(tmp_path, change, field):
+    """A mistyped setting is reported with its file and field."""
     path = tmp_path / 'entry.json'
     path.write_text(json.dumps(SETTINGS | change))
-    with pytest.raises(SettingsError) as refused:
+    with pytest.raises(SettingsError) as caught:
         read_settings(path, EntrySettings)
-    assert refused.value.source == str(path)
-    assert refused.value.problems[0].field == field
-    assert refused.value.problems[0].expected
+    assert caught.value.source == str(path)
+    assert caught.value.problems[0].field == field
+    assert caught.value.problems[0].expected
 
 
 @pytest.mark.parametrize('text', [None, '', '{', '[]', '{"name": "a"}'])
-def test_unreadable_file_is_a_settings_error(tmp_path, text):
-    """A file that is missing, empty or cut short is refused as a whole."""
+def test_unreadable_file_raises_settings_error(tmp_path, text):
+    """A missing, empty, truncated or incomplete file is rejected."""
     path = tmp_path / 'entry.json'
     if text is not None:
         path.write_text(text)
@@ -52,11 +52,11 @@
         read_settings(path, EntrySettings)
 
 
-def test_advertised_address_goes_before_the_listened_one(tmp_path):
-    """Behind address translation, others must be told the outer address."""
-    outer = {'host': '127.0.0.9', 'port': 80}
+def test_advertised_address_overrides_listening_address(tmp_path):
+    """Behind NAT, other processes need the external address."""
+    external = {'host': '127.0.0.9', 'port': 80}
     path = tmp_path / 'entry.json'
-    path.write_text(json.dumps(SETTINGS | {'http_advertised': outer}))
+    path.write_text(json.dumps(SETTINGS | {'http_advertised': external}))
     settings = read_settings(path, EntrySettings)
     assert settings.http_endpoint.host == '127.0.0.9'
     assert settings.peer_endpoint == settings.peer
