--- a/godwitshunt/manifest/__init__.py
+++ b/godwitshunt/manifest/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's manifest: models that check it, its digest, its residency."""
+"""Models, digest and residency rules of the operator's manifest."""
 
 from godwitshunt.manifest.documents import (
     canonical_bytes,
--- a/godwitshunt/manifest/base.py
+++ b/godwitshunt/manifest/base.py
@@ -1,4 +1,4 @@
-"""Types that all models of documents share."""
+"""Base types of all document models."""
 
 from typing import Annotated
 
@@ -9,6 +9,6 @@
 
 
 class StrictModel(BaseModel):
-    """Base of models that refuse unknown fields and never change."""
+    """Base of immutable models that reject unknown fields."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
--- a/godwitshunt/manifest/documents.py
+++ b/godwitshunt/manifest/documents.py
@@ -1,4 +1,4 @@
-"""Reading, canonical form and digest of manifests and other documents."""
+"""Parsing of JSON documents; canonical form and digest of manifests."""
 
 import hashlib
 import json
@@ -18,7 +18,7 @@
 
 Model = TypeVar('Model', bound=BaseModel)
 
-SHOWN_CHARACTERS = 80
+MAX_FOUND_CHARACTERS = 80
 
 
 def parse_document(
@@ -27,56 +27,60 @@
     model: type[Model],
     error: type[DocumentError],
 ) -> Model:
-    """Read a JSON document into its model.
+    """Parse and validate a JSON document.
 
     Parameters
     ----------
     source : str
-        Where the document came from, for the error.
+        The file or request that the document came from, for the error.
     text : str or bytes
         The JSON text.
     model : type
-        The pydantic model to fill.
+        The pydantic model to validate against.
     error : type
         The exception class to raise.
 
     Raises
     ------
     DocumentError
-        With every wrong field, what was found and what was expected.
+        If the document is invalid. It lists every invalid field with its
+        actual and its expected value.
     """
     try:
         return model.model_validate_json(text)
-    except ValidationError as invalid:
+    except ValidationError as validation_error:
         problems = tuple(
-            field_problem(fault) for fault in invalid.errors(include_url=False)
+            field_problem(details)
+            for details in validation_error.errors(include_url=False)
         )
         raise error(source, problems) from None
 
 
-def field_problem(fault: ErrorDetails) -> FieldProblem:
-    """Return a wrong field as its model tells it."""
-    missing = fault['type'] == 'missing'
+def field_problem(details: ErrorDetails) -> FieldProblem:
+    """Convert a pydantic error to a `FieldProblem`."""
+    missing = details['type'] == 'missing'
     return FieldProblem(
-        field='.'.join(str(part) for part in fault['loc']) or '(whole)',
-        found='nothing' if missing else repr(fault['input'])[:SHOWN_CHARACTERS],
-        expected='a value' if missing else fault['msg'],
+        field='.'.join(str(part) for part in details['loc']) or '(whole)',
+        found='nothing'
+        if missing
+        else repr(details['input'])[:MAX_FOUND_CHARACTERS],
+        expected='a value' if missing else details['msg'],
     )
 
 
 def parse_manifest(text: str | bytes, source: str = 'manifest') -> Manifest:
-    """Read a manifest; raise `ManifestError` where it does not fit."""
+    """Parse a manifest; raise `ManifestError` if it is invalid."""
     return parse_document(source, text, Manifest, ManifestError)
 
 
 def read_settings(path: Path, model: type[Model]) -> Model:
-    """Read a settings file; raise `SettingsError` where it does not fit."""
+    """Read a settings file; raise `SettingsError` if it is invalid."""
     try:
         text = path.read_bytes()
-    except OSError as failed:
+    except OSError as os_error:
         problem = FieldProblem(
             '(file)',
-            failed.strerror or 'unreadable',
+            os_error.strerror or 'unreadable',
             'a readable JSON file',
         )
         raise SettingsError(str(path), (problem,)) from None
@@ -84,7 +88,7 @@
 
 
 def canonical_bytes(manifest: Manifest) -> bytes:
-    """Return the one byte form that equal manifests share.
+    """Return the canonical JSON encoding, identical for equal manifests.
 
     Examples
     --------
@@ -100,5 +104,5 @@
 
 
 def manifest_digest(manifest: Manifest) -> str:
-    """Return the SHA-256 of the canonical form, in hexadecimal."""
+    """Return the SHA-256 of the canonical encoding, in hexadecimal."""
     return hashlib.sha256(canonical_bytes(manifest)).hexdigest()
--- a/godwitshunt/manifest/models.py
+++ b/godwitshunt/manifest/models.py
@@ -1,7 +1,7 @@
 """Validated models of the operator's manifest.
 
-The manifest is the single statement of intent. Unknown fields are errors, so
-that a misspelt rule is never silently left out.
+The manifest is the only source of the desired state. Unknown fields are
+errors, so that a misspelt rule is never silently ignored.
 """
 
 from enum import StrEnum
@@ -15,25 +15,25 @@
 
 
 class ServiceKind(StrEnum):
-    """What stands behind a service."""
+    """Kind of the upstreams of a service."""
 
     model = 'model'
     plain = 'plain'
 
 
 class Region(StrictModel):
-    """A region and what reaching it costs.
+    """A region, its price and its round trips to other regions.
 
     Parameters
     ----------
     name : str
         The region's name.
     failure_domains : tuple of str
-        Parts of the region that fail together.
+        Names of the region's failure domains.
     price : float
         Cost of 1,000 generated tokens, in the operator's currency.
     round_trip_ms : dict
-        Round trip to other regions in milliseconds, where known.
+        Round-trip times to other regions in milliseconds, where known.
     """
 
     name: Name
@@ -43,29 +43,28 @@
 
 
 class Service(StrictModel):
-    """A service that requests name.
+    """A service that requests are sent to.
 
     Parameters
     ----------
     name : str
         The service's name; for plain services, the first part of the path.
     kind : ServiceKind
-        Whether model engines or plain services answer.
+        Whether the upstreams are model engines or plain services.
     non_idempotent_methods : tuple of str
-        HTTP methods whose calls may run at most once; such a call needs an
-        ``Idempotency-Key``.
+        HTTP methods whose requests may run at most once; such a request needs
+        an ``Idempotency-Key``.
     deadline_s : float
-        Seconds until a request without a deadline of its own is given up.
+        Default deadline in seconds of requests that state none.
     health_path : str or None
-        Path that tells whether an upstream is healthy; None where there is
-        none.
+        Path of the health check of an upstream; None for no health check.
     connections : int or None
-        Connections that an upstream takes from all VMs together; None for
-        any number.
+        Connections that an upstream accepts from all VMs together; None for
+        no limit.
     cold_start : ColdStart or None
-        What an upstream bears while it is cold; None where that is no matter.
+        Load limit of a cold upstream; None for no limit.
     engine : Engine or None
-        What its model engines are made of; None for plain services.
+        Capacity of each model engine; None for plain services.
     """
 
     name: Name
@@ -84,15 +83,15 @@
     Parameters
     ----------
     name : str
-        The name that callers give in ``model``.
+        The name that callers state in the field ``model``.
     service : str
         The service whose upstreams serve it.
     regions : tuple of str
         Regions that the model may run in; empty for all.
     adapters : tuple of str
-        Adapters that upstreams may load beside it.
+        Adapters that upstreams may load in addition.
     version : str
-        The version that upstreams are ordered to load.
+        The version that upstreams are instructed to load.
     """
 
     name: Name
@@ -110,13 +109,13 @@
     name : str
         The class's name.
     priority : int
-        Higher is served first.
+        Requests of a higher priority are served first.
     deadline_s : float
-        Seconds until a request of this class is given up.
+        Deadline in seconds of requests of this class.
     slot_share : float
-        Largest share of an upstream's slots that the class may fill, 0 to 1.
+        Largest share of an upstream's slots that the class may occupy, 0 to 1.
     queue_limit : int
-        Requests of this class that may wait in one entry VM.
+        Requests of this class that may be queued in one entry VM.
     """
 
     name: Name
@@ -127,7 +126,7 @@
 
 
 class ResidencyRule(StrictModel):
-    """Regions in which requests of the rule's callers may be served."""
+    """Regions that may serve the requests of callers with this rule."""
 
     name: Name
     regions: tuple[Name, ...] = Field(min_length=1)
@@ -146,14 +145,14 @@
     home : str
         The caller's home region.
     request_class : str
-        The class of requests that name none.
+        The default class of its requests.
     residency : str or None
-        A residency rule; None leaves every region open.
+        Name of a residency rule; None to allow every region.
     requests_per_s : float
-        Requests that the caller may send each second over the whole
+        Requests per second that the caller may send to the whole
         deployment.
     burst : int
-        Requests that it may send at once beyond that.
+        Requests allowed in a burst beyond that rate.
     """
 
     name: Name
@@ -166,17 +165,17 @@
 
 
 class Objective(StrictModel):
-    """Weights of the three measures in a routing decision.
+    """Weights of the three terms in the cost of a routing decision.
 
     Parameters
     ----------
     latency : float
-        Weight of a second until the first token.
+        Weight of each second until the first token.
     cost : float
         Weight of the price of 1,000 tokens.
     share_away : float
-        Weight of leaving the home region, in seconds of waiting that staying
-        home is worth.
+        Penalty, in seconds of waiting, for serving a request outside the
+        home region.
     """
 
     latency: float = Field(default=1.0, ge=0)
@@ -190,20 +189,22 @@
     Parameters
     ----------
     number : int
-        The pipeline's number of this manifest; a later one is higher.
+        Sequence number assigned by the operator's pipeline; it increases
+        with each manifest.
     deployment : str
         The deployment's name.
     retry_share : float
-        Retries and hedges together, as a share of first tries.
+        Largest share of retries and hedged requests together, relative to
+        first attempts.
     routes : tuple of Route
-        Requests that name no model or service, by host and path prefix.
+        Rules for requests that name no model or service.
     organisations : tuple of Organisation
-        Who may send requests of keyed routes.
+        Organisations that may send requests of keyed routes.
     input_limits : InputLimits
-        What callers of routes may send.
+        Size and time limits on requests of routes.
     origin : str
-        The document that the pipeline made this manifest from, kept as it is
-        for whoever asks; empty where there is none.
+        The unmodified document that the pipeline generated this manifest
+        from, returned on request; empty if there is none.
     """
 
     number: int = Field(ge=1, lt=2**63)
@@ -223,7 +224,7 @@
 
     @model_validator(mode='after')
     def check_references(self) -> Self:
-        """Refuse names that stand twice and references to nothing."""
+        """Reject duplicate names and references to undeclared names."""
         regions = unique_names('regions', self.regions)
         services = unique_names('services', self.services)
         classes = unique_names('classes', self.classes)
@@ -231,15 +232,23 @@
         unique_names('models', self.models)
         unique_names('callers', self.callers)
         for model in self.models:
-            require('models', model.name, 'service', model.service, services)
+            require_declared(
+                'models', model.name, 'service', model.service, services
+            )
             for region in model.regions:
-                require('models', model.name, 'regions', region, regions)
+                require_declared(
+                    'models', model.name, 'regions', region, regions
+                )
         for rule in self.residency:
             for region in rule.regions:
-                require('residency', rule.name, 'regions', region, regions)
+                require_declared(
+                    'residency', rule.name, 'regions', region, regions
+                )
         for caller in self.callers:
-            require('callers', caller.name, 'home', caller.home, regions)
-            require(
+            require_declared(
+                'callers', caller.name, 'home', caller.home, regions
+            )
+            require_declared(
                 'callers',
                 caller.name,
                 'request_class',
@@ -247,7 +256,7 @@
                 classes,
             )
             if caller.residency is not None:
-                require(
+                require_declared(
                     'callers',
                     caller.name,
                     'residency',
@@ -259,32 +268,36 @@
         return self
 
     def check_organisations(self, regions: frozenset[str]) -> None:
-        """Refuse shared keys, and homes that are no regions."""
+        """Reject shared keys and homes that are undeclared regions."""
         unique_names('organisations', self.organisations)
         check_keys(self.organisations)
-        for one in self.organisations:
-            for home in one.homes:
-                require('organisations', one.name, 'homes', home, regions)
+        for organisation in self.organisations:
+            for home in organisation.homes:
+                require_declared(
+                    'organisations', organisation.name, 'homes', home, regions
+                )
 
     def check_routes(
         self,
         services: frozenset[str],
         regions: frozenset[str],
     ) -> None:
-        """Refuse routes to nothing, and two routes for one place."""
+        """Reject undeclared services and regions, and duplicate routes."""
         unique_names('routes', self.routes)
-        places = {(route.host, route.path_prefix) for route in self.routes}
-        if len(places) != len(self.routes):
+        matchers = {(route.host, route.path_prefix) for route in self.routes}
+        if len(matchers) != len(self.routes):
             raise ValueError('routes: two have the same host and path_prefix')
         for route in self.routes:
-            for one in route.services:
-                require('routes', route.name, 'services', one.service, services)
+            for target in route.services:
+                require_declared(
+                    'routes', route.name, 'services', target.service, services
+                )
             for home in route.homes:
-                require('routes', route.name, 'homes', home, regions)
+                require_declared('routes', route.name, 'homes', home, regions)
 
 
 def unique_names(section: str, entries: tuple) -> frozenset[str]:
-    """Return the names of a section; raise ValueError where one repeats."""
+    """Return the names of a section; raise ValueError on a duplicate."""
     names = [entry.name for entry in entries]
     for name in names:
         if len(names) < 64 and names.count(name) > 1:
@@ -294,16 +307,16 @@
     return frozenset(names)
 
 
-def require(
+def require_declared(
     section: str,
     name: str,
     field: str,
     reference: str,
-    known: frozenset[str],
+    declared: frozenset[str],
 ) -> None:
-    """Raise ValueError where a reference names nothing that is declared."""
-    if reference not in known:
-        expected = ', '.join(sorted(known)) or 'nothing (none is declared)'
+    """Raise ValueError if a reference is not a declared name."""
+    if reference not in declared:
+        expected = ', '.join(sorted(declared)) or 'nothing (none is declared)'
         raise ValueError(
             f'{section}.{name}.{field}: found {reference}, '
             f'expected one of: {expected}',
--- a/godwitshunt/manifest/organisations.py
+++ b/godwitshunt/manifest/organisations.py
@@ -1,7 +1,8 @@
-"""Organisations that send requests of routes, by the keys that they hold.
+"""Organisations that send requests, identified by their keys.
 
-The manifest holds digests of keys and never a key: whoever reads a log, a
-backup or a message between processes must not be able to send requests.
+The manifest contains digests of keys and never the keys themselves: read
+access to a log, a backup or a message between processes must not be enough to
+send requests.
 """
 
 from collections.abc import Iterable
@@ -12,30 +13,30 @@
 
 from godwitshunt.manifest.base import Digest, Name, StrictModel
 
-# It is told to upstreams in a header: printable, and without blanks.
+# Sent to upstreams in a header, hence printable ASCII without spaces.
 HeaderText = Annotated[str, Field(pattern='^[!-~]{1,256}$')]
 
 
 class LimitUnit(StrEnum):
-    """What an organisation's limit counts."""
+    """Unit in which an organisation's limit is counted."""
 
     requests = 'requests'
     tokens = 'tokens'
 
 
 class OrganisationLimit(StrictModel):
-    """What an organisation may send over all VMs together.
+    """Rate limit of an organisation over all VMs together.
 
     Parameters
     ----------
     per_s : float
-        Units a second.
+        Units per second.
     burst : float
-        Units at once beyond that.
+        Units allowed in a burst beyond that rate.
     unit : LimitUnit
         Requests, or the tokens of their prompts and answers.
     untold_tokens : float
-        What a request counts for that tells no tokens.
+        Tokens counted for a request that does not state its tokens.
     """
 
     per_s: float = Field(gt=0, allow_inf_nan=False)
@@ -44,12 +45,13 @@
     untold_tokens: float = Field(default=0.0, ge=0, allow_inf_nan=False)
 
     def cost(self, tokens: int) -> float:
-        """Return what a request counts for.
+        """Return the units that a request uses.
 
         Parameters
         ----------
         tokens : int
-            Of its prompt and its answer together; 0 where it tells none.
+            Tokens of its prompt and its answer together; 0 if it does not state
+            them.
 
         Examples
         --------
@@ -65,22 +67,22 @@
 
 
 class Organisation(StrictModel):
-    """An organisation whose requests name it by a key.
+    """An organisation whose requests are authenticated by a key.
 
     Parameters
     ----------
     name : str
-        Told to upstreams in place of the key.
+        Sent to upstreams in place of the key.
     keys_sha256 : tuple of str
         SHA-256 of each of its keys, in hexadecimal.
     rank : int or None
-        Its requests go before those of a higher rank, whatever the route;
-        among equals the route's rank decides. None is 0.
+        Requests of a lower rank are served first, whatever the route; between
+        equal ranks the rank of the route decides. None means 0.
     homes : tuple of str
-        Regions that may serve it; empty for all. Where a route has homes as
-        well, both bind.
+        Regions that may serve its requests; empty for all. If the route has
+        homes too, only regions in both may.
     limit : OrganisationLimit or None
-        None for no limit.
+        Its rate limit; None for no limit.
     """
 
     name: HeaderText
@@ -91,15 +93,16 @@
 
 
 def check_keys(organisations: Iterable[Organisation]) -> None:
-    """Raise ValueError where two organisations share a key.
+    """Raise ValueError if two organisations share a key.
 
-    The key is not told: the error goes to logs.
+    The message omits the key because it is written to logs.
     """
     owners: dict[str, str] = {}
-    for one in organisations:
-        for digest in one.keys_sha256:
-            owner = owners.setdefault(digest, one.name)
-            if owner != one.name:
+    for organisation in organisations:
+        for digest in organisation.keys_sha256:
+            owner = owners.setdefault(digest, organisation.name)
+            if owner != organisation.name:
                 raise ValueError(
-                    f'organisations: {owner} and {one.name} share a key',
+                    f'organisations: {owner} and {organisation.name} '
+                    'share a key',
                 )
--- a/godwitshunt/manifest/residency.py
+++ b/godwitshunt/manifest/residency.py
@@ -1,4 +1,4 @@
-"""Which regions may serve a caller's request."""
+"""Regions that may serve a caller's request."""
 
 from dataclasses import dataclass
 
@@ -23,22 +23,22 @@
     Parameters
     ----------
     manifest : Manifest
-        The manifest in force.
+        The active manifest.
     caller : Caller
-        Who asks.
+        The caller that sent the request.
     model : str or None
-        The model asked for; None for plain services.
+        The requested model; None for plain services.
 
     Returns
     -------
     frozenset of str
-        Empty where no region is allowed.
+        Empty if no region is allowed.
     """
     regions = frozenset(region.name for region in manifest.regions)
     for rule in manifest.residency:
         if rule.name == caller.residency:
             regions &= frozenset(rule.regions)
-    for declared in manifest.models:
-        if declared.name == model and declared.regions:
-            regions &= frozenset(declared.regions)
+    for declaration in manifest.models:
+        if declaration.name == model and declaration.regions:
+            regions &= frozenset(declaration.regions)
     return regions
--- a/godwitshunt/manifest/routes.py
+++ b/godwitshunt/manifest/routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and path prefix, and what services behind them bear."""
+"""Routes by host and path prefix, and capacities of their services."""
 
 from enum import StrEnum
 from typing import Self
@@ -9,9 +9,9 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated of a route's requests.
+    """How often a request of a route may run.
 
-    `idempotent` requests may run more than once, `non_idempotent` ones at
+    An `idempotent` request may run more than once, a `non_idempotent` one at
     most once, and a `stream` at most once unless its route is resumable.
     """
 
@@ -28,39 +28,40 @@
 
 
 class Route(StrictModel):
-    """Requests by host and path prefix, of an organisation or of anybody.
+    """A rule that maps requests by host and path prefix to services.
 
     Parameters
     ----------
     name : str
-        The operator's name for it, in logs.
+        The route's name in logs.
     host : str
-        Host of the request, small letters, without port.
+        Host of the request in lower case, without the port.
     path_prefix : str
-        Begins and ends with a slash; the longest that fits a path is used.
+        Begins and ends with a slash; the longest matching prefix applies.
     kind : RouteKind
-        What may be repeated.
+        How often a request may run.
     services : tuple of WeightedService
-        Who answers, by weight.
+        Services that answer, with their weights.
     timeout_s : float
-        Seconds after which a request is given up.
+        Seconds after which a request times out.
     objective_s : float
-        Seconds within which an answer, or a stream's first event, is on time.
+        Latency objective in seconds for an answer or a stream's first event.
     rank : int
-        Urgency; 0 goes first.
+        Priority; 0 is served first.
     attempts : int
-        Upstreams that may run one request, at most.
+        Largest number of upstreams that may run a request.
     homes : tuple of str
-        Regions whose upstreams may serve it; empty for all.
+        Regions whose upstreams may serve requests; empty for all.
     resumable : bool
-        True where a stream that broke may go on at another upstream.
+        Whether an interrupted stream may resume on another upstream.
     longest_gap_s : float or None
-        Longest pause between events for which a stream is on time.
+        Objective in seconds for the longest pause between a stream's events;
+        None for no objective.
     by_prompt : bool
-        True where requests tell the parts of their prompt, which upstreams
+        Whether requests state the parts of their prompt, which upstreams
         cache.
     keyed : bool
-        True where a request must come with an organisation's key.
+        Whether a request requires an organisation's key.
     """
 
     name: str = Field(min_length=1, max_length=256)
@@ -80,28 +81,28 @@
 
     @property
     def repeatable(self) -> bool:
-        """True where running a request twice does no harm."""
+        """Whether a request may safely run more than once."""
         if self.kind is RouteKind.stream:
             return self.resumable
         return self.kind is RouteKind.idempotent
 
     @model_validator(mode='after')
     def check_weights(self) -> Self:
-        """Refuse a route that gives no service anything."""
-        if not sum(one.weight for one in self.services):
+        """Reject a route whose weights are all 0."""
+        if not sum(service.weight for service in self.services):
             raise ValueError(f'routes.{self.name}: the weights add up to 0')
         return self
 
 
 class ColdStart(StrictModel):
-    """What an upstream of a service bears while it is cold.
+    """Load limit of an upstream while it is cold.
 
     Parameters
     ----------
     duration_s : float
-        Seconds for which it is cold after it starts.
+        Seconds after its start for which an upstream is cold.
     requests_per_s : float
-        Requests that it bears each second while cold.
+        Requests per second that a cold upstream can serve.
     """
 
     duration_s: float = Field(ge=0)
@@ -109,16 +110,17 @@
 
 
 class Engine(StrictModel):
-    """What the model engines of a service are made of.
+    """Capacity of each model engine of a service.
 
     Parameters
     ----------
     slots : int
-        Requests that one runs at once.
+        Requests that an engine runs concurrently.
     memory_tokens : int
-        Tokens of running requests and cached prompt parts that it holds.
+        Capacity in tokens for running requests and cached prompt parts
+        together.
     tokens_per_event : int
-        Tokens in one event of a stream.
+        Tokens per event of a stream.
     """
 
     slots: int = Field(ge=1)
@@ -127,7 +129,7 @@
 
 
 class InputLimits(StrictModel):
-    """What callers of routes may send, and how long they may take."""
+    """Size and time limits on requests of routes."""
 
     header_bytes: int = Field(default=16384, ge=1)
     body_bytes: int = Field(default=4194304, ge=0)
--- a/godwitshunt/manifest/tests/test_manifest.py
+++ b/godwitshunt/manifest/tests/test_manifest.py
@@ -1,4 +1,4 @@
-"""The manifest's models, digest and residency."""
+"""Models, digest and residency rules of the manifest."""
 
 import copy
 import json
@@ -33,7 +33,7 @@
 }
 
 
-def changed(path: str, value: object) -> dict:
+def document_with(path: str, value: object) -> dict:
     """Return the document with one field replaced; the path is dotted."""
     document = copy.deepcopy(DOCUMENT)
     target = document
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ('path', 'value', 'told'),
+    ('path', 'value', 'message_part'),
     [
         ('number', 0, 'number'),
         ('number', '1x', 'number'),
@@ -59,14 +59,14 @@
         ('services.0.kind', 'magic', 'kind'),
     ],
 )
-def test_wrong_field_is_named(path, value, told):
-    """An operator misspells a field or names something undeclared.
+def test_invalid_field_is_named(path, value, message_part):
+    """A misspelt field or an undeclared reference rejects the manifest.
 
-    The whole manifest is refused and the error names the field.
+    The error names the field.
     """
-    with pytest.raises(ManifestError) as refused:
-        parse_manifest(as_json(changed(path, value)))
-    assert told in str(refused.value)
+    with pytest.raises(ManifestError) as caught:
+        parse_manifest(as_json(document_with(path, value)))
+    assert message_part in str(caught.value)
 
 
 def as_json(document: dict) -> bytes:
@@ -75,18 +75,18 @@
 
 
 def test_digest_ignores_key_order():
-    """Two pipelines that write the same fields in another order agree."""
-    turned = dict(reversed(DOCUMENT.items()))
-    first = Manifest.model_validate(DOCUMENT)
-    assert manifest_digest(first) == manifest_digest(
-        Manifest.model_validate(turned),
+    """The same fields in another order have the same digest."""
+    reordered = dict(reversed(DOCUMENT.items()))
+    original = Manifest.model_validate(DOCUMENT)
+    assert manifest_digest(original) == manifest_digest(
+        Manifest.model_validate(reordered),
     )
 
 
 def test_residency_and_model_regions_intersect():
-    """A caller bound to one region asks for a model that runs in another.
+    """A caller's residency rule and a model's regions both restrict.
 
-    No region may serve it; anything else would break its rule.
+    No region may serve a request if the two have none in common.
     """
     manifest = Manifest.model_validate(DOCUMENT)
     caller = manifest.callers[0]
