--- a/godwitshunt/storage/__init__.py
+++ b/godwitshunt/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Small files that always hold one whole record."""
+"""Atomic, checksummed storage of single records in files."""
 
 from godwitshunt.storage.atomic_file import (
     AtomicFile,
--- a/godwitshunt/storage/atomic_file.py
+++ b/godwitshunt/storage/atomic_file.py
@@ -1,4 +1,4 @@
-"""One file that always holds one whole record, or none."""
+"""A file with a single checksummed record, replaced atomically."""
 
 import os
 from dataclasses import dataclass
@@ -9,19 +9,21 @@
 
 from godwitshunt.exceptions import StorageError
 
+# Magic bytes, CRC-32C of the body, and the record's number.
 HEADER = Struct('>4sIQ')
 
 
 @dataclass(frozen=True)
 class StoredRecord:
-    """A record as it stands in its file.
+    """A record in an `AtomicFile`.
 
     Parameters
     ----------
     number : int
-        Tells it from others of its kind, such as a revision.
+        Identifies the record among others of its kind, such as a revision
+        number.
     body : bytes
-        Its content.
+        The payload.
     """
 
     number: int
@@ -30,40 +32,41 @@
 
 @dataclass(frozen=True)
 class AtomicFile:
-    """A file that is replaced as a whole.
+    """A file that is replaced atomically.
 
-    A crash while a file is written leaves a part of it; so the new one is
-    written and synced beside the old one and takes its name only then.
+    A crash during a write leaves a partial file. Therefore the new content is
+    written and synced to a temporary file, which is then renamed over the old
+    one.
 
     Parameters
     ----------
     path : Path
-        Where it stands.
+        Path of the file.
     magic : bytes
-        Four bytes that tell its kind.
+        Four bytes that identify the kind of file.
     """
 
     path: Path
     magic: bytes
 
     def read(self) -> StoredRecord | None:
-        """Return the record; None where there is none that is whole.
+        """Return the record; None if the file is missing or damaged.
 
         Raises
         ------
         StorageError
-            Where the folder exists but cannot be read.
+            If the file or its folder cannot be read.
         """
         try:
             content = self.path.read_bytes()
         except FileNotFoundError:
             return None
-        except OSError as failed:
-            raise self.fault(failed) from None
+        except OSError as os_error:
+            raise self.storage_error(os_error) from None
         return self.parse(content)
 
     def parse(self, content: bytes) -> StoredRecord | None:
-        """Return the record in a file's content; None where it is damaged."""
+        """Decode the content of a file; return None if it is damaged."""
         if len(content) < HEADER.size:
             return None
         magic, checksum, number = HEADER.unpack_from(content)
@@ -73,12 +76,12 @@
         return StoredRecord(number, body)
 
     def write(self, record: StoredRecord) -> None:
-        """Keep a record; it is on the disk when this returns.
+        """Replace the record; it is durable once this returns.
 
         Raises
         ------
         StorageError
-            Where the disk is full or cannot be written.
+            If the file cannot be written, for example because the disk is full.
         """
         checksum = crc32c.crc32c(record.body)
         header = HEADER.pack(self.magic, checksum, record.number)
@@ -87,16 +90,16 @@
             write_synced(self.path.with_suffix('.new'), header + record.body)
             self.path.with_suffix('.new').replace(self.path)
             sync_folder(self.path.parent)
-        except OSError as failed:
-            raise self.fault(failed) from None
+        except OSError as os_error:
+            raise self.storage_error(os_error) from None
 
-    def fault(self, failed: OSError) -> StorageError:
-        """Return what to raise for a failure of the disk."""
-        return StorageError(str(self.path), failed.strerror or '')
+    def storage_error(self, os_error: OSError) -> StorageError:
+        """Convert an operating system error to a `StorageError`."""
+        return StorageError(str(self.path), os_error.strerror or '')
 
 
 def write_synced(path: Path, content: bytes) -> None:
-    """Write a file and wait until its content is on the disk."""
+    """Write a file and sync its content to disk."""
     with path.open('wb') as file:
         file.write(content)
         file.flush()
@@ -104,7 +107,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Wait until the folder's entries are on the disk."""
+    """Sync the entries of a folder to disk."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/godwitshunt/storage/tests/__init__.py
+++ b/godwitshunt/storage/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the storage slice."""
+"""Tests of the atomic file."""
--- a/godwitshunt/storage/tests/test_atomic_file.py
+++ b/godwitshunt/storage/tests/test_atomic_file.py
@@ -1,4 +1,4 @@
-"""A file that always holds one whole record, through crashes."""
+"""Replacement of an atomic file, and detection of damaged content."""
 
 import pytest
 
@@ -9,53 +9,55 @@
 
 
 @pytest.fixture
-def kept(tmp_path):
-    """Return a file that does not exist yet, in a folder that neither does."""
-    return AtomicFile(tmp_path / 'data' / 'kept.bin', b'TEST')
-
-
-def test_the_last_record_is_read(kept):
-    """A process restarts."""
-    assert kept.read() is None
-    kept.write(FIRST)
-    kept.write(SECOND)
-    assert kept.read() == SECOND
-
-
-def test_a_crash_within_a_write_leaves_the_record_before(kept):
-    """Power is lost while the new file is written beside the old one."""
-    kept.write(FIRST)
-    kept.path.with_suffix('.new').write_bytes(b'TESThalf')
-    assert kept.read() == FIRST
-    kept.write(SECOND)
-    assert kept.read() == SECOND
-
-
-def test_every_cut_and_every_flipped_byte_is_none(kept):
-    """The disk tore the file, or lost bits of it."""
-    kept.write(FIRST)
-    content = kept.path.read_bytes()
-    cuts = [content[:length] for length in range(len(content))]
-    # The number is not covered by the checksum: it stands before the body.
-    covered = [*range(8), *range(16, len(content))]
-    flips = [
-        content[:place] + bytes([content[place] ^ 1]) + content[place + 1 :]
-        for place in covered
+def atomic_file(tmp_path):
+    """Return a file that does not exist yet, in a missing folder."""
+    return AtomicFile(tmp_path / 'data' / 'record.bin', b'TEST')
+
+
+def test_last_record_is_read(atomic_file):
+    """A process that restarts reads the last written record."""
+    assert atomic_file.read() is None
+    atomic_file.write(FIRST)
+    atomic_file.write(SECOND)
+    assert atomic_file.read() == SECOND
+
+
+def test_crash_during_a_write_preserves_previous_record(atomic_file):
+    """Power is lost while the temporary file is written."""
+    atomic_file.write(FIRST)
+    atomic_file.path.with_suffix('.new').write_bytes(b'TESThalf')
+    assert atomic_file.read() == FIRST
+    atomic_file.write(SECOND)
+    assert atomic_file.read() == SECOND
+
+
+def test_truncated_or_corrupted_content_is_rejected(atomic_file):
+    """A torn write truncates the file, or the disk corrupts a byte."""
+    atomic_file.write(FIRST)
+    content = atomic_file.path.read_bytes()
+    truncated = [content[:length] for length in range(len(content))]
+    # The checksum covers the body only, not the number in the header.
+    checked_offsets = [*range(8), *range(16, len(content))]
+    flipped = [
+        content[:offset] + bytes([content[offset] ^ 1]) + content[offset + 1 :]
+        for offset in checked_offsets
     ]
-    assert {kept.parse(one) for one in (*cuts, *flips)} == {None}
+    assert {
+        atomic_file.parse(damaged) for damaged in (*truncated, *flipped)
+    } == {None}
 
 
-def test_a_file_of_another_kind_is_none(kept):
-    """Two files of a folder were exchanged."""
-    kept.write(FIRST)
-    assert AtomicFile(kept.path, b'ELSE').read() is None
+def test_file_of_another_kind_is_rejected(atomic_file):
+    """A file whose magic bytes differ reads as no record."""
+    atomic_file.write(FIRST)
+    assert AtomicFile(atomic_file.path, b'ELSE').read() is None
 
 
-def test_a_folder_that_cannot_be_made_is_told(tmp_path):
-    """The data folder's place is taken by a file."""
+def test_unusable_data_folder_raises_storage_error(tmp_path):
+    """A regular file exists at the path of the data folder."""
     (tmp_path / 'data').write_bytes(b'')
-    file = AtomicFile(tmp_path / 'data' / 'kept.bin', b'TEST')
+    unusable = AtomicFile(tmp_path / 'data' / 'record.bin', b'TEST')
     with pytest.raises(StorageError):
-        file.write(FIRST)
+        unusable.write(FIRST)
     with pytest.raises(StorageError):
-        file.read()
+        unusable.read()
