--- a/godwitshunt/manifest/models.py
+++ b/godwitshunt/manifest/models.py
@@ -29,7 +29,7 @@
     name : str
         The region's name.
     failure_domains : tuple of str
-        Names of the region's failure domains.
+        Failure domains: parts of the region whose VMs fail together.
     price : float
         Cost of 1,000 generated tokens, in the operator's currency.
     round_trip_ms : dict
--- a/godwitshunt/manifest/organisations.py
+++ b/godwitshunt/manifest/organisations.py
@@ -76,8 +76,8 @@
     keys_sha256 : tuple of str
         SHA-256 of each of its keys, in hexadecimal.
     rank : int or None
-        Requests of a lower rank are served first, whatever the route; between
-        equal ranks the rank of the route decides. None means 0.
+        Requests of smaller ranks are served first, regardless of the route;
+        between equal ranks the rank of the route decides. None means 0.
     homes : tuple of str
         Regions that may serve its requests; empty for all. If the route has
         homes too, only regions in both may.
--- a/godwitshunt/settings/models.py
+++ b/godwitshunt/settings/models.py
@@ -164,9 +164,9 @@
         which every VM, including isolated ones, begins to reject the key;
         None if this is required only of VMs in contact with a quorum.
     quarantine_s : float
-        Seconds for which a request is not sent to any upstream after it
-        coincided with the termination of three or more upstreams, counted
-        from the last of them.
+        Seconds for which a request is not sent to any upstream after three or
+        more upstreams terminated while running it, counted from the last
+        termination.
     """
 
     retry_share: float = Field(default=0.1, ge=0, le=1)
