--- a/godwitshunt/placement/api.py
+++ b/godwitshunt/placement/api.py
@@ -1,4 +1,4 @@
-"""What operators ask of placement over HTTP."""
+"""Operators' HTTP API for placement."""
 
 from dataclasses import asdict
 from enum import StrEnum
@@ -27,11 +27,11 @@
     WeightStoreBusy,
 )
 
-MAX_SUBJECT = 256
+MAX_SUBJECT_CHARACTERS = 256
 
 
 class OrderAction(StrEnum):
-    """What an upstream can be told to do."""
+    """Actions that can be ordered from an upstream."""
 
     load_model = 'load-model'
     load_adapter = 'load-adapter'
@@ -40,38 +40,40 @@
 
 
 class OrderRequest(StrictModel):
-    """An order as an operator sends it.
+    """An order as sent by an operator.
 
     Parameters
     ----------
     order : str
-        A name that the operator's pipeline chooses; the same one is never
-        issued twice.
+        Name chosen by the operator's pipeline; an order is issued at most once
+        per name.
     upstream : str
-        The upstream's name.
+        Name of the upstream.
+    action : OrderAction
+        What the upstream has to do.
     subject : str
-        The model, adapter or version to load, or the role to take.
+        The model, adapter or version to load, or the new role.
     weight_units : int
-        Units that it takes from the weight store.
+        Units to acquire from the weight store.
     """
 
     order: Name
     upstream: Name
     action: OrderAction
-    subject: str = Field(min_length=1, max_length=MAX_SUBJECT)
+    subject: str = Field(min_length=1, max_length=MAX_SUBJECT_CHARACTERS)
     weight_units: int = Field(default=0, ge=0)
 
 
 class PlacementApi:
-    """The route for orders, to be added to the operators' API."""
+    """Endpoint for orders in the operators' API."""
 
     def __init__(self, task: PlacementTask) -> None:
         self.task = task
 
     async def order(self, request: OperatorRequest) -> OperatorAnswer:
-        """Commit an order; it is sent as soon as that is safe."""
+        """Commit an order; it is sent as soon as it is safe to do so."""
         try:
-            asked = parse_document(
+            order = parse_document(
                 BODY,
                 request.body,
                 OrderRequest,
@@ -79,16 +81,16 @@
             )
         except DocumentError as invalid:
             return refusal(invalid_document(invalid))
-        came = await self.task.issue(
+        issued = await self.task.issue(
             IssueOrder(
-                asked.order,
-                asked.upstream,
-                asked.action.value,
-                asked.subject,
-                asked.weight_units,
+                order.order,
+                order.upstream,
+                order.action.value,
+                order.subject,
+                order.weight_units,
             ),
         )
-        outcome = came.err() if isinstance(came, Err) else came.ok()
+        outcome = issued.err() if isinstance(issued, Err) else issued.ok()
         match outcome:
             case OrderIssued():
                 return answer({'outcome': 'issued', **asdict(outcome)})
--- a/godwitshunt/placement/decisions.py
+++ b/godwitshunt/placement/decisions.py
@@ -1,9 +1,9 @@
-"""Which orders a control replica may send now; pure.
+"""Decision which orders a control replica may send now; no I/O.
 
-An order that arrives late can undo a newer one: the upstream would load an old
-version and nobody would notice. Upstreams that check fencing numbers refuse
-it. For the others, only the leader sends, only under a live quorum lease, and
-a new leader waits until nothing of the last one can be on its way.
+A delayed order can undo a newer one: the upstream would load an old version
+unnoticed. Upstreams that check fencing numbers refuse it. For the others, only
+the leader sends, only under a valid quorum lease, and a new leader waits until
+no order of the previous one can still be in transit.
 """
 
 from collections.abc import Iterator, Mapping
@@ -14,22 +14,22 @@
 from godwitshunt.consensus import Leadership
 from godwitshunt.settings import Address
 
-# Longest time between the last check of the lease and the end of an order's
-# journey: the sender gives up and closes the connection by then.
+# Maximum time between the last check of the lease and the arrival of an order:
+# the sender times out and closes the connection by then.
 ORDER_TRANSIT_S = 5.0
-# An order is sent only where the lease lasts at least this much longer.
+# An order is sent only if the lease remains valid for more than this.
 LEASE_MARGIN_S = 0.05
 RETRY_PERIOD_S = 1.0
 
 
 @dataclass(frozen=True)
 class KnownUpstream:
-    """An upstream as entry VMs reported it.
+    """An upstream as reported by entry VMs.
 
     Parameters
     ----------
     honours_fencing : bool
-        Whether it refuses orders with an old fencing number.
+        Whether it refuses orders with an outdated fencing number.
     """
 
     name: str
@@ -39,34 +39,36 @@
 
 
 @dataclass(frozen=True)
-class Reign:
-    """How long this replica has led without interruption.
+class Tenure:
+    """Period for which this replica has led without interruption.
 
     Parameters
     ----------
     term : int or None
-        The term that it leads; None where it does not lead.
-    since : float
-        Monotonic time when it was first seen to lead that term.
+        The term that it leads; None if it does not lead.
+    since_s : float
+        Monotonic time when it was first observed to lead that term.
     """
 
     term: int | None = None
-    since: float = 0
+    since_s: float = 0
 
 
 @dataclass(frozen=True)
 class PlacementState:
-    """What this replica remembers of orders.
+    """State of this replica's orders in progress.
 
     Parameters
     ----------
+    tenure : Tenure
+        Current leadership of this replica.
     sending : frozenset of str
-        Upstreams with an order on its way.
-    retry_at : mapping
-        When an order that got no answer may be sent again.
+        Upstreams with an order in transit.
+    retry_at : mapping of str to float
+        Monotonic time when an unanswered order may be resent, by order.
     """
 
-    reign: Reign = Reign()
+    tenure: Tenure = Tenure()
     sending: frozenset[str] = frozenset()
     retry_at: Mapping[str, float] = field(default_factory=dict)
 
@@ -79,39 +81,39 @@
     upstream: KnownUpstream
 
 
-def note_leadership(
+def record_leadership(
     state: PlacementState,
     leadership: Leadership,
     now: float,
 ) -> PlacementState:
-    """Return the state after a look at who leads."""
+    """Return the state for the current leadership."""
     term = leadership.term if leadership.is_leader else None
-    if term == state.reign.term:
+    if term == state.tenure.term:
         return state
-    return replace(state, reign=Reign(term, now))
+    return replace(state, tenure=Tenure(term, now))
 
 
 def may_send(
     state: PlacementState,
     leadership: Leadership,
     upstream: KnownUpstream,
-    old_lease_s: float,
+    previous_lease_s: float,
     now: float,
 ) -> bool:
-    """Tell whether an order may leave for an upstream at this moment.
+    """Return whether an order may be sent to an upstream now.
 
     Parameters
     ----------
-    old_lease_s : float
-        Longest lease of the leader before, in seconds.
+    previous_lease_s : float
+        Maximum lease of the previous leader in seconds.
     """
-    if not leadership.is_leader or state.reign.term != leadership.term:
+    if not leadership.is_leader or state.tenure.term != leadership.term:
         return False
     if leadership.lease_remaining_s <= LEASE_MARGIN_S:
         return False
     if upstream.honours_fencing:
         return True
-    return now - state.reign.since >= old_lease_s + ORDER_TRANSIT_S
+    return now - state.tenure.since_s >= previous_lease_s + ORDER_TRANSIT_S
 
 
 def due_orders(
@@ -119,26 +121,26 @@
     control: ControlState,
     leadership: Leadership,
     upstreams: Mapping[str, KnownUpstream],
-    old_lease_s: float,
+    previous_lease_s: float,
     now: float,
 ) -> Iterator[SendOrder]:
-    """Give the orders to send now: for each upstream its oldest open one.
+    """Yield the orders to send now: the oldest open one of each upstream.
 
-    Orders of one upstream go one after the other; two at once could arrive
-    in the other order, and the older would be the one that stays.
+    Orders to one upstream are sent sequentially; two concurrent ones could be
+    reordered, and the older one would take effect last.
     """
-    for order in oldest_open(control):
+    for order in oldest_open_orders(control):
         upstream = upstreams.get(order.upstream)
         if upstream is None or order.upstream in state.sending:
             continue
         if now < state.retry_at.get(order.order, now):
             continue
-        if may_send(state, leadership, upstream, old_lease_s, now):
+        if may_send(state, leadership, upstream, previous_lease_s, now):
             yield SendOrder(order, upstream)
 
 
-def oldest_open(control: ControlState) -> tuple[OrderIssued, ...]:
-    """Return the oldest order of each upstream that is not finished."""
+def oldest_open_orders(control: ControlState) -> tuple[OrderIssued, ...]:
+    """Return the oldest unfinished order of each upstream."""
     oldest: dict[str, OrderIssued] = {}
     for order in control.orders.values():
         if order.ending is OrderEnding.open:
@@ -147,7 +149,7 @@
 
 
 def begin_sending(state: PlacementState, send: SendOrder) -> PlacementState:
-    """Return the state with an order on its way."""
+    """Return the state with an order in transit."""
     return replace(state, sending=state.sending | {send.upstream.name})
 
 
@@ -158,7 +160,7 @@
     *,
     answered: bool,
 ) -> PlacementState:
-    """Return the state after an order was answered, or got no answer."""
+    """Return the state after an order was answered or timed out."""
     retry_at = dict(state.retry_at)
     retry_at.pop(send.order.order, None)
     if not answered:
@@ -170,12 +172,12 @@
     )
 
 
-def ending_of(status: int) -> OrderEnding:
-    """Return what an upstream's status means for an order.
+def ending_from_status(status: int) -> OrderEnding:
+    """Return the result of an order for an upstream's HTTP status.
 
     Examples
     --------
-    >>> ending_of(412).value
+    >>> ending_from_status(412).value
     'fenced'
     """
     if status < 300:
