--- a/godwitshunt/ingress/context.py
+++ b/godwitshunt/ingress/context.py
@@ -1,4 +1,4 @@
-"""What every request of a route is served with."""
+"""The context that all requests of an entry VM share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 )
 from godwitshunt.ingress.active_revision import ActiveRevision
 from godwitshunt.ingress.authorization import Authorizer
-from godwitshunt.ingress.crash_detector import CrashWitness
+from godwitshunt.ingress.crash_detector import CrashDetector
 from godwitshunt.ingress.header_names import HeaderNames
 from godwitshunt.organisations import AdmissionShare
 from godwitshunt.picking.attempt_recorder import AttemptRecorder
@@ -30,35 +30,35 @@
 
 @dataclass
 class Budgets:
-    """What all VMs together may repeat, and send to cold upstreams."""
+    """Budgets that all VMs share for retries and for cold upstreams."""
 
     bounds: RetryBounds
     cold: ColdBudget
     retries: dict[str, RetryWindow]
 
     def retry_window(self, service: str) -> RetryWindow:
-        """Return the repeats of one service."""
-        known = self.retries.get(service)
-        if known is None:
-            known = RetryWindow(self.bounds)
-            self.retries[service] = known
-        return known
+        """Return the retry window of a service."""
+        window = self.retries.get(service)
+        if window is None:
+            window = RetryWindow(self.bounds)
+            self.retries[service] = window
+        return window
 
 
 @dataclass
 class IngressContext:
-    """What every request is served with.
+    """Shared state and components that serve the requests of an entry VM.
 
     Parameters
     ----------
     active_revision : callable
-        Returns the revision in force; None before the first.
+        Returns the active revision; None before the first.
     authorizer : Authorizer
-        Whether what is known of keys still holds.
+        Decides which keys may be relied on.
     chooser : Chooser
         Chooses where the region's picker does not answer.
-    witness : CrashWitness
-        Finds out which upstreams ended while they had requests.
+    crash_detector : CrashDetector
+        Detects upstreams that crashed while they had requests.
     pool : UpstreamPool
         Connections to upstreams of this region.
     hops : UpstreamPool
@@ -77,7 +77,7 @@
     attempt_recorder: AttemptRecorder
     picker: PickerClient
     budgets: Budgets
-    witness: CrashWitness
+    crash_detector: CrashDetector
     pool: UpstreamPool
     hops: UpstreamPool
     timer: Timer
@@ -85,38 +85,40 @@
 
     @property
     def quarantine(self) -> Quarantine:
-        """What is held against requests that upstreams ended under."""
+        """Requests that are suspected of crashing upstreams."""
         return self.watch.quarantine
 
-    def limit_standing(self) -> AdmissionShare:
-        """Return this VM's part of organisations' limits, without a picker.
+    def limit_share(self) -> AdmissionShare:
+        """Return this VM's share of organisations' limits without a picker.
 
-        The region's share is left by all other pickers while they don't hear
-        this region's; its entry VMs have equal parts of it.
+        The pickers of other regions leave this region's share unused while
+        they do not hear from its picker; the entry VMs of the region split it
+        equally.
         """
         regions = set(self.settings.domains.values())
         regions.add(self.settings.region)
-        part = 1 / len(regions) / self.neighbours.count_in_region()
-        return AdmissionShare(part, part)
+        share = 1 / len(regions) / self.neighbours.count_in_region()
+        return AdmissionShare(share, share)
 
     def cold_share(self) -> float:
-        """Return this VM's part of what cold upstreams of its region may get.
+        """Return this VM's share of requests to cold upstreams of its region.
 
-        Where the region has control VMs their pickers share it all; a VM that
-        gave some besides could send more than the upstreams bear.
+        Zero where the region has control VMs: their pickers share the whole,
+        and anything that VMs send besides could exceed what the upstreams can
+        serve.
         """
         if self.watch.has_local_control():
             return 0.0
         return 1 / self.neighbours.count_in_region()
 
     def has_cold_capacity(
-        self, upstream: UpstreamSeen, ask: ChoiceRequest
+        self, upstream: UpstreamSeen, request: ChoiceRequest
     ) -> bool:
-        """Tell whether this VM may send a cold upstream one more request."""
-        cold = ask.service.cold_start
+        """Tell whether this VM may send a cold upstream another request."""
+        cold = request.service.cold_start
         return cold is None or self.budgets.cold.has_room(
             upstream.announcement.incarnation,
             cold.requests_per_s,
             self.cold_share(),
-            ask.now_s,
+            request.now_s,
         )
