--- a/godwitshunt/peer/__init__.py
+++ b/godwitshunt/peer/__init__.py
@@ -1,4 +1,4 @@
-"""Links between the system's processes: frames, handshake, calls."""
+"""Connections between godwitshunt processes: framing, handshake, calls."""
 
 from godwitshunt.peer.codec import decode, encode
 from godwitshunt.peer.link import PeerOptions
--- a/godwitshunt/peer/codec.py
+++ b/godwitshunt/peer/codec.py
@@ -1,4 +1,4 @@
-"""Thrift compact encoding of the messages between processes."""
+"""Thrift compact encoding of messages between processes."""
 
 from typing import TypeVar
 
@@ -12,9 +12,9 @@
 
 Struct = TypeVar('Struct')
 
-MAX_CONTAINER = 65536
+MAX_CONTAINER_ITEMS = 65536
 MAX_STRING_BYTES = 8 * 1024 * 1024
-MALFORMED = (
+DECODE_ERRORS = (
     TException,
     ArithmeticError,
     EOFError,
@@ -27,31 +27,30 @@
 
 factory = TCompactProtocolAcceleratedFactory(
     string_length_limit=MAX_STRING_BYTES,
-    container_length_limit=MAX_CONTAINER,
+    container_length_limit=MAX_CONTAINER_ITEMS,
     fallback=True,
 )
 
 
 def encode(struct: object) -> bytes:
-    """Return the compact encoding of a generated thrift struct."""
+    """Encode a generated thrift struct with the compact protocol."""
     buffer = TMemoryBuffer()
     struct.write(factory.getProtocol(buffer))
     return buffer.getvalue()
 
 
 def decode(kind: type[Struct], body: bytes) -> Struct:
-    """Read a generated thrift struct.
+    """Decode a generated thrift struct.
 
     Raises
     ------
     FrameError
-        Where the bytes are not a whole, bounded encoding of `kind`.
+        If `body` is truncated, malformed or exceeds the size limits.
     """
     message = kind()
     try:
         message.read(factory.getProtocol(TMemoryBuffer(body)))
-    # Malformed input surfaces from the library as many exception types; all
-    # of them mean the same to the sender: the frame cannot be decoded.
-    except MALFORMED as bad:
-        raise FrameError(f'{kind.__name__}: {bad!r}') from None
+    # The thrift library raises many exception types for malformed input.
+    except DECODE_ERRORS as error:
+        raise FrameError(f'{kind.__name__}: {error!r}') from None
     return message
--- a/godwitshunt/peer/frames.py
+++ b/godwitshunt/peer/frames.py
@@ -1,4 +1,4 @@
-"""Frames on a stream: a 4-byte big-endian length, then that many bytes."""
+"""Length-prefixed frames: a 4-byte big-endian length and the body."""
 
 import asyncio
 import struct
@@ -9,7 +9,7 @@
 
 
 def frame(body: bytes) -> bytes:
-    """Return a body with its length before it.
+    """Prefix a body with its length.
 
     Examples
     --------
@@ -25,13 +25,15 @@
     Raises
     ------
     FrameError
-        Where the announced length is above the limit. The body is not read,
-        so a stranger cannot fill this process's memory.
+        If the length prefix exceeds `limit_bytes`. The body is not read, so
+        that an untrusted client cannot exhaust this process's memory.
     asyncio.IncompleteReadError
-        Where the stream ends first.
+        If the stream ends before the frame is complete.
     """
     header = await reader.readexactly(LENGTH.size)
     length = LENGTH.unpack(header)[0]
     if length > limit_bytes:
-        raise FrameError(f'{length} bytes announced, {limit_bytes} allowed')
+        raise FrameError(
+            f'frame of {length} bytes exceeds the limit of {limit_bytes}'
+        )
     return await reader.readexactly(length)
--- a/godwitshunt/peer/link.py
+++ b/godwitshunt/peer/link.py
@@ -1,4 +1,4 @@
-"""The outgoing connection to one peer: one task owns the socket."""
+"""Outgoing connection to one peer, owned by one task."""
 
 import asyncio
 import itertools
@@ -23,46 +23,51 @@
 
 OUTBOX_FRAMES = 1024
 CONNECT_TIMEOUT_S = 2.0
-# The opening packet to a machine that is just getting power is lost, and the
-# kernel sends the next one after a second: one notices by links that take a
-# second longer than their peer's start. So an attempt that has not succeeded
-# after this is given up for a new one, which may take twice as long. After
-# all machines were dark 20 of 45 pairs of control and entry VM first spoke over
-# 0.9 s after the entry's start, the median was 0.6 s; with it none of 36, and
-# 0.48 s (one day of the users' bench each, from the processes' logs).
-FIRST_ATTEMPT_S = 0.3
-RECONNECT_PAUSE_S = 0.1
-# A connection may go silent without a reset while new ones work: what is sent
-# on it is lost, and one notices by calls that all time out. A peer that has
-# not been heard for PING_AFTER_S seconds is asked for a sign of life; one
-# silent for SILENT_AFTER_S is connected to anew, below an election timeout
-# and a half, so that a silent connection does not cost a quorum its leader.
+# Timeout of the first connection attempt; it doubles with each attempt. A SYN
+# to a VM that is still booting is lost, and the kernel retransmits it only
+# after 1 s. Without the short first attempt, 20 of 45 pairs of control and
+# entry VMs took over 0.9 s from the entry VM's start to the first message after
+# a full restart (median 0.6 s); with it, none of 36 (median 0.48 s).
+FIRST_CONNECT_TIMEOUT_S = 0.3
+RECONNECT_DELAY_S = 0.1
+# A connection may stop carrying data without a reset while new connections
+# work; all calls on it then time out. A peer that has sent nothing for
+# PING_AFTER_S is pinged; after UNRESPONSIVE_AFTER_S the connection is replaced.
+# UNRESPONSIVE_AFTER_S is below 1.5 election timeouts, so that a stalled
+# connection does not cost a quorum its leader.
 PING_AFTER_S = 0.4
-SILENT_AFTER_S = 1.3
-# A link that nothing but pings has used for so long is closed, and made again
-# with the next message. An entry VM speaks to one control VM in calm; pings to
-# the four others were nine in ten of its wake-ups (195 entry VMs, 28 s).
+UNRESPONSIVE_AFTER_S = 1.3
+# A connection that carries only pings for this long is closed, and reopened
+# for the next message. An idle entry VM needs one control VM only; pings to the
+# four others caused 90 % of its wake-ups (measured with 195 entry VMs, 28 s).
 IDLE_AFTER_S = 5.0
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-BROKEN = (OSError, EOFError, FrameError, HandshakeError, TimeoutError)
+CONNECTION_ERRORS = (
+    OSError,
+    EOFError,
+    FrameError,
+    HandshakeError,
+    TimeoutError,
+)
 
 
 @dataclass(frozen=True)
 class PeerOptions:
-    """What a process needs to talk to its peers.
+    """Identity, cluster key, TLS and limits of a process's peer links.
 
     Parameters
     ----------
     name : str
-        This process's name, told in the handshake.
+        Name of this process, sent in the handshake.
     listen : Address
-        Where peers reach this process.
+        Address that this process listens on for peers.
     key : bytes
         The deployment's cluster key.
     frame_bytes : int
-        Longest frame that is read, in bytes.
+        Maximum length of a received frame, in bytes.
     server_tls, client_tls : ssl.SSLContext or None
-        None talks plain TCP.
+        TLS contexts of incoming and outgoing connections; None for plain
+        TCP.
     """
 
     name: str
@@ -74,22 +79,22 @@
 
 
 class Link:
-    """The outgoing connection to one peer, made when first needed.
+    """Outgoing connection to one peer, opened for the first message.
 
-    A broken connection fails every call that was sent on it with
-    `OutcomeUnknown`: the peer may have acted on them. Calls that were not yet
-    written fail with `NotSent`.
+    When the connection breaks, pending calls that were written to it fail
+    with `OutcomeUnknown`, since the peer may have acted on them. Calls that
+    were not yet written fail with `NotSent`.
     """
 
     def __init__(self, address: Address, options: PeerOptions) -> None:
         self.address = address
         self.options = options
         self.outbox: asyncio.Queue[Envelope] = asyncio.Queue(OUTBOX_FRAMES)
-        self.waiting: dict[int, asyncio.Future[bytes]] = {}
-        self.sent: set[int] = set()
-        self.numbers = itertools.count(1)
-        self.heard_s = 0.0
-        self.used_s = 0.0
+        self.pending: dict[int, asyncio.Future[bytes]] = {}
+        self.written: set[int] = set()
+        self.call_ids = itertools.count(1)
+        self.last_received_s = 0.0
+        self.last_used_s = 0.0
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -97,17 +102,17 @@
         self.task = asyncio.create_task(self.run())
 
     async def close(self) -> None:
-        """Close the connection and fail what waits on it."""
+        """Close the connection and fail all pending calls."""
         if self.task is not None:
             self.task.cancel()
             with suppress(asyncio.CancelledError):
                 await self.task
-        self.fail_waiting('link closed')
+        self.fail_pending('link closed')
 
-    def put(self, envelope: Envelope) -> bool:
-        """Queue an envelope; False where the outbox is full."""
+    def enqueue(self, envelope: Envelope) -> bool:
+        """Queue an envelope; return False if the outbox is full."""
         if envelope.kind != MessageKind.ping:
-            self.used_s = asyncio.get_running_loop().time()
+            self.last_used_s = asyncio.get_running_loop().time()
         try:
             self.outbox.put_nowait(envelope)
         except asyncio.QueueFull:
@@ -121,99 +126,107 @@
         timeout_s: float,
     ) -> Result[bytes, CallFailed]:
         """Send a message and wait for its reply."""
-        number = next(self.numbers)
+        call_id = next(self.call_ids)
         reply: asyncio.Future[bytes] = asyncio.Future()
-        self.waiting[number] = reply
-        envelope = Envelope(kind=kind, call=number, reply=False, body=body)
-        if not self.put(envelope):
-            self.waiting.pop(number)
+        self.pending[call_id] = reply
+        envelope = Envelope(kind=kind, call=call_id, reply=False, body=body)
+        if not self.enqueue(envelope):
+            self.pending.pop(call_id)
             return Err(NotSent(str(self.address), 'outbox full'))
         try:
             return Ok(await asyncio.wait_for(reply, timeout_s))
         except TimeoutError:
-            return Err(self.failure(number, 'no reply in time'))
-        except OSError as broken:
-            return Err(self.failure(number, str(broken)))
+            return Err(self.make_failure(call_id, 'no reply in time'))
+        except OSError as error:
+            return Err(self.make_failure(call_id, str(error)))
         finally:
-            self.waiting.pop(number, None)
-            self.sent.discard(number)
+            self.pending.pop(call_id, None)
+            self.written.discard(call_id)
 
-    def failure(self, number: int, reason: str) -> CallFailed:
-        """Return the failure of a call, by whether it was written."""
-        if number in self.sent:
+    def make_failure(self, call_id: int, reason: str) -> CallFailed:
+        """Return the failure of a call, depending on whether it was written."""
+        if call_id in self.written:
             return OutcomeUnknown(str(self.address), reason)
         return NotSent(str(self.address), reason)
 
     async def run(self) -> None:
-        """Connect, exchange frames, and connect again when that breaks."""
+        """Run connections one after another, each opened for a message."""
         while True:
             envelope = await self.outbox.get()
             try:
-                await self.exchange(envelope)
-            except BROKEN as broken:
-                self.fail_waiting(repr(broken))
-                self.drop_outbox()
-                await asyncio.sleep(RECONNECT_PAUSE_S)
+                await self.run_connection(envelope)
+            except CONNECTION_ERRORS as error:
+                self.fail_pending(repr(error))
+                self.discard_outbox()
+                await asyncio.sleep(RECONNECT_DELAY_S)
 
-    def drop_outbox(self) -> None:
-        """Forget envelopes that were queued for the broken connection.
+    def discard_outbox(self) -> None:
+        """Discard envelopes that were queued for the broken connection.
 
-        A message that waited through an outage would arrive with old news, or
-        after its caller has given up; the sender's slice sends it anew.
+        After an outage a queued message would carry outdated state, or its
+        caller would have timed out. Retrying is left to the sender.
         """
         while not self.outbox.empty():
             self.outbox.get_nowait()
-        self.fail_waiting('not connected')
+        self.fail_pending('not connected')
 
-    async def exchange(self, first: Envelope) -> None:
-        """Send and receive on one connection until it breaks, or idles."""
+    async def run_connection(self, first: Envelope) -> None:
+        """Connect and exchange messages until the link breaks or idles."""
         reader, writer = await self.connect()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                await handshake.greet(
+                await handshake.initiate(
                     reader,
                     writer,
                     self.options.key,
                     self.options.name,
                 )
-            await self.converse(reader, writer, first)
+            await self.run_session(reader, writer, first)
         finally:
             writer.close()
 
     async def connect(self) -> Connection:
-        """Connect, in attempts of growing length within the time-out."""
+        """Connect, retrying with doubled timeouts up to the deadline."""
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + CONNECT_TIMEOUT_S
-        attempt_s = FIRST_ATTEMPT_S
-        while loop.time() + attempt_s < ends_s:
+        deadline_s = loop.time() + CONNECT_TIMEOUT_S
+        attempt_s = FIRST_CONNECT_TIMEOUT_S
+        while loop.time() + attempt_s < deadline_s:
             with suppress(TimeoutError):
-                return await self.try_connect(attempt_s)
+                return await self.connect_once(attempt_s)
             attempt_s *= 2
-        return await self.try_connect(ends_s - loop.time())
+        return await self.connect_once(deadline_s - loop.time())
+
+    async def connect_once(self, timeout_s: float) -> Connection:
+        """Make one connection attempt.
 
-    async def try_connect(self, limit_s: float) -> Connection:
-        """Make one attempt; raise where it takes too long."""
-        async with asyncio.timeout(limit_s):
+        Raises
+        ------
+        TimeoutError
+            If the attempt takes longer than `timeout_s` seconds.
+        OSError
+            If the connection fails.
+        """
+        async with asyncio.timeout(timeout_s):
             return await asyncio.open_connection(
                 self.address.host,
                 self.address.port,
                 ssl=self.options.client_tls,
-                # Peers and firewalls know a VM by its own address.
+                # Firewall rules identify a VM by its listening address.
                 local_addr=(self.options.listen.host, 0),
             )
 
-    async def converse(
+    async def run_session(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         first: Envelope,
     ) -> None:
-        """Run both directions until one ends; raise what ended it."""
-        self.heard_s = asyncio.get_running_loop().time()
+        """Send and receive until one of the tasks ends; raise its exception."""
+        self.last_received_s = asyncio.get_running_loop().time()
         tasks = (
             asyncio.create_task(self.send(writer, first)),
             asyncio.create_task(self.receive(reader)),
-            asyncio.create_task(self.watch()),
+            asyncio.create_task(self.send_keepalives()),
         )
         try:
             done, _ = await asyncio.wait(
@@ -232,53 +245,53 @@
         writer: asyncio.StreamWriter,
         envelope: Envelope,
     ) -> None:
-        """Write envelopes from the outbox."""
+        """Write an envelope, then those of the outbox."""
         while True:
-            if self.is_wanted(envelope):
-                self.sent.add(envelope.call)
+            if self.should_send(envelope):
+                self.written.add(envelope.call)
                 writer.write(frame(encode(envelope)))
                 await writer.drain()
             envelope = await self.outbox.get()
 
-    def is_wanted(self, envelope: Envelope) -> bool:
-        """Tell whether an envelope is still to be sent."""
+    def should_send(self, envelope: Envelope) -> bool:
+        """Return False for a call that is no longer pending."""
         if envelope.kind == MessageKind.ping:
             return True
-        return not envelope.call or envelope.call in self.waiting
+        return not envelope.call or envelope.call in self.pending
 
-    async def watch(self) -> None:
-        """Ping a silent peer until the link idles.
+    async def send_keepalives(self) -> None:
+        """Ping a peer that sends nothing, until the link is idle.
 
         Raises
         ------
         TimeoutError
-            Where the peer does not answer.
+            If the peer sends nothing for `UNRESPONSIVE_AFTER_S`.
         """
         loop = asyncio.get_running_loop()
-        while self.waiting or loop.time() - self.used_s < IDLE_AFTER_S:
+        while self.pending or loop.time() - self.last_used_s < IDLE_AFTER_S:
             await asyncio.sleep(PING_AFTER_S)
-            silent_s = loop.time() - self.heard_s
-            if silent_s > SILENT_AFTER_S:
-                raise TimeoutError('the peer is silent')
+            silent_s = loop.time() - self.last_received_s
+            if silent_s > UNRESPONSIVE_AFTER_S:
+                raise TimeoutError('peer is unresponsive')
             if silent_s >= PING_AFTER_S:
-                number = next(self.numbers)
-                self.put(Envelope(MessageKind.ping, number, False, b''))
+                call_id = next(self.call_ids)
+                self.enqueue(Envelope(MessageKind.ping, call_id, False, b''))
 
     async def receive(self, reader: asyncio.StreamReader) -> None:
-        """Read replies and give each to its call."""
+        """Read replies and complete their calls."""
         loop = asyncio.get_running_loop()
         while True:
             body = await read_frame(reader, self.options.frame_bytes)
-            self.heard_s = loop.time()
+            self.last_received_s = loop.time()
             envelope = decode(Envelope, body)
-            # A reply to a call that was given up finds nobody waiting and is
-            # dropped; numbers are never used twice on a link.
-            waiting = self.waiting.get(envelope.call)
-            if waiting is not None and not waiting.done():
-                waiting.set_result(envelope.body or b'')
+            # A reply to a call that timed out is dropped; call ids are never
+            # reused on a link.
+            reply = self.pending.get(envelope.call)
+            if reply is not None and not reply.done():
+                reply.set_result(envelope.body or b'')
 
-    def fail_waiting(self, reason: str) -> None:
-        """Fail every call that waits for a reply."""
-        for reply in self.waiting.values():
+    def fail_pending(self, reason: str) -> None:
+        """Fail every call that awaits a reply."""
+        for reply in self.pending.values():
             if not reply.done():
                 reply.set_exception(ConnectionError(reason))
--- a/godwitshunt/peer/links.py
+++ b/godwitshunt/peer/links.py
@@ -1,4 +1,4 @@
-"""All links of one process, and the handlers of what peers send."""
+"""Peer links of one process, and the handlers of received messages."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,22 +17,23 @@
 from godwitshunt.settings import Address
 from godwitshunt.telemetry import Metrics, log_change
 
-# A peer pings each link that it holds; one that has sent nothing for so long
-# is gone without a reset, and its connection would else stay for ever.
-INBOUND_SILENCE_S = 10.0
+# A peer pings its open links, so an incoming connection without data for this
+# long has failed without a reset and would otherwise stay open for ever.
+INBOUND_IDLE_TIMEOUT_S = 10.0
 
 PeerHandler = Callable[[str, bytes], Awaitable[bytes | None]]
 
 
 class PeerLinks:
-    """All links of one process, and the handlers of what peers send.
+    """Peer links of one process, and the handlers of received messages.
 
     Parameters
     ----------
     options : PeerOptions
-        Name, address, key and bounds.
+        Name, address, key and limits.
     metrics : Metrics
-        Counts refused handshakes, bad frames and dropped messages.
+        Receives counts of refused handshakes, malformed frames and dropped
+        messages.
     """
 
     def __init__(self, options: PeerOptions, metrics: Metrics) -> None:
@@ -45,20 +46,20 @@
 
     @classmethod
     def from_config(cls, options: PeerOptions, metrics: Metrics) -> Self:
-        """Make the links of a process."""
+        """Create the links of a process."""
         return cls(options, metrics)
 
     def subscribe(self, kind: MessageKind, handler: PeerHandler) -> None:
-        """Hand messages of a kind to a handler.
+        """Register the handler of a message kind.
 
-        The handler gets the sender's proven name and the body; what it
-        returns is the reply, None sends none.
+        The handler receives the sender's authenticated name and the body,
+        and returns the body of the reply, or None for no reply.
         """
         self.handlers[kind] = handler
 
     async def start(self) -> None:
-        """Listen for peers."""
-        self.subscribe(MessageKind.ping, answer_ping)
+        """Start to listen for peers."""
+        self.subscribe(MessageKind.ping, handle_ping)
         self.server = await asyncio.start_server(
             self.accept,
             self.options.listen.host,
@@ -67,7 +68,7 @@
         )
 
     async def close(self) -> None:
-        """Close every link; calls under way fail."""
+        """Close every link; pending calls fail."""
         if self.server is not None:
             self.server.close()
         for task in tuple(self.inbound):
@@ -89,18 +90,18 @@
         Returns
         -------
         Result
-            The reply, or `NotSent` or `OutcomeUnknown`.
+            Body of the reply, or `NotSent` or `OutcomeUnknown`.
         """
         return await self.link(address).call(kind, body, timeout_s)
 
     def notify(self, address: Address, kind: MessageKind, body: bytes) -> None:
-        """Send a message without reply; it may be lost."""
+        """Send a message without a reply; delivery is not guaranteed."""
         envelope = Envelope(kind=kind, call=0, reply=False, body=body)
-        if not self.link(address).put(envelope):
+        if not self.link(address).enqueue(envelope):
             self.metrics.count('peer_messages_dropped_total')
 
     def link(self, address: Address) -> Link:
-        """Return the link to a peer, made at first use."""
+        """Return the link to a peer, created at first use."""
         link = self.links.get(address)
         if link is None:
             link = Link(address, self.options)
@@ -115,20 +116,20 @@
     ) -> None:
         """Serve one incoming connection in a task of its own.
 
-        The task is ours and not the server's: that one would print a
-        traceback for each connection that `close` cancels.
+        If this were a coroutine function, asyncio's server would own the task
+        and log a traceback for each connection that `close` cancels.
         """
-        serving = self.serve_until_broken(reader, writer)
+        serving = self.serve_connection(reader, writer)
         task = asyncio.get_running_loop().create_task(serving)
         self.inbound.add(task)
         task.add_done_callback(self.inbound.discard)
 
-    async def serve_until_broken(
+    async def serve_connection(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Serve one incoming connection; count how it ended."""
+        """Serve one incoming connection and count the error that ends it."""
         try:
             await self.serve(reader, writer)
         except HandshakeError:
@@ -145,9 +146,9 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Prove the key, then handle messages, each in a task of its own."""
+        """Authenticate, then handle each message in a task of its own."""
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
-            sender = await handshake.receive(
+            sender = await handshake.accept(
                 reader,
                 writer,
                 self.options.key,
@@ -155,13 +156,13 @@
             )
         async with asyncio.TaskGroup() as group:
             try:
-                await self.read_messages(reader, writer, sender, group)
+                await self.dispatch_messages(reader, writer, sender, group)
             except (OSError, EOFError):
                 self.metrics.count('peer_connections_ended_total')
             except FrameError:
                 self.metrics.count('peer_frames_malformed_total')
 
-    async def read_messages(
+    async def dispatch_messages(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -170,18 +171,18 @@
     ) -> None:
         """Start a handler for each message until the stream ends."""
         while True:
-            async with asyncio.timeout(INBOUND_SILENCE_S):
+            async with asyncio.timeout(INBOUND_IDLE_TIMEOUT_S):
                 body = await read_frame(reader, self.options.frame_bytes)
             envelope = decode(Envelope, body)
-            group.create_task(self.answer(writer, sender, envelope))
+            group.create_task(self.handle_message(writer, sender, envelope))
 
-    async def answer(
+    async def handle_message(
         self,
         writer: asyncio.StreamWriter,
         sender: str,
         envelope: Envelope,
     ) -> None:
-        """Run one handler and send its reply."""
+        """Run the handler of one message and send its reply."""
         handler = self.handlers.get(envelope.kind)
         if handler is None:
             self.metrics.count('peer_messages_unhandled_total')
@@ -189,33 +190,33 @@
         try:
             reply = await handler(sender, envelope.body or b'')
         except FrameError:
-            # A body that does not decode harms only its own call: the sender
-            # sees no reply, other calls on the link go on.
+            # A malformed body leaves only its own call without a reply;
+            # other calls on the connection continue.
             self.metrics.count('peer_frames_malformed_total')
             return
-        except Exception as fault:
-            # A fault of ours must end one call only, and be seen.
+        except Exception as error:
+            # A bug in a handler must fail only its own call, and be logged.
             self.metrics.count('peer_handlers_failed_total')
             log_change(
                 'peer:handler_failed',
                 sender=sender,
                 kind=envelope.kind,
-                fault=repr(fault),
+                fault=repr(error),
             )
             return
         if reply is None or not envelope.call:
             return
-        answer = Envelope(
+        reply_envelope = Envelope(
             kind=envelope.kind,
             call=envelope.call,
             reply=True,
             body=reply,
         )
         with suppress(OSError):
-            writer.write(frame(encode(answer)))
+            writer.write(frame(encode(reply_envelope)))
             await writer.drain()
 
 
-async def answer_ping(sender: str, body: bytes) -> bytes:
-    """Give a peer that heard nothing for a while its sign of life."""
+async def handle_ping(sender: str, body: bytes) -> bytes:
+    """Reply to a keepalive ping."""
     return body
--- a/godwitshunt/peer/messages.py
+++ b/godwitshunt/peer/messages.py
@@ -1,11 +1,11 @@
-"""Message kinds and typed failures of peer calls."""
+"""Message kinds, and the failures of peer calls."""
 
 from dataclasses import dataclass
 from enum import IntEnum
 
 
 class MessageKind(IntEnum):
-    """Which slice and handler a frame is for."""
+    """Kind of a message; selects the handler at the receiver."""
 
     ping = 1
     consensus = 100
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class NotSent:
-    """The call never left this process; the peer cannot have acted on it."""
+    """The call was not sent, so the peer cannot have acted on it."""
 
     peer: str
     reason: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class OutcomeUnknown:
-    """The call was sent and no reply came; the peer may have acted on it."""
+    """The call was sent but not answered; the peer may have acted on it."""
 
     peer: str
     reason: str
--- a/godwitshunt/peer/peer.thrift
+++ b/godwitshunt/peer/peer.thrift
@@ -1,13 +1,13 @@
-/** Frames between the system's processes: handshake, then envelopes. */
+/** Frames between godwitshunt processes: handshake, then envelopes. */
 namespace py wire
 
-/** First frame, from the process that connected. */
+/** First frame, sent by the connecting process. */
 struct Opening {
   1: i16 protocol_version
   2: binary nonce
 }
 
-/** Second frame: the accepting process proves the key. */
+/** Second frame: proof of the cluster key by the accepting process. */
 struct Challenge {
   1: i16 protocol_version
   2: string name
@@ -16,16 +16,16 @@
   4: binary proof
 }
 
-/** Third frame: the connecting process proves it, too. */
+/** Third frame: proof of the cluster key by the connecting process. */
 struct Hello {
   1: string name
   2: binary proof
 }
 
-/** Every later frame, in both directions. */
+/** Every frame after the handshake, in both directions. */
 struct Envelope {
   1: i16 kind
-  /** Pairs a reply with its call; 0 for a message without reply. */
+  /** Matches a reply to its call; 0 for a message without a reply. */
   2: i64 call
   3: bool reply
   4: binary body
--- a/godwitshunt/peer/tests/__init__.py
+++ b/godwitshunt/peer/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this slice."""
+"""Tests of the peer links."""
--- a/godwitshunt/peer/tests/test_codec.py
+++ b/godwitshunt/peer/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames that do not decode are refused, whatever their bytes."""
+"""Decoding of malformed messages."""
 
 import random
 from contextlib import suppress
@@ -24,10 +24,10 @@
         b'\x18\xff\xff\xff\xff\x7f',
     ],
 )
-def test_bytes_that_are_no_struct(body):
-    """A broken process sends noise, a part of a message, or deep nesting.
+def test_malformed_bytes_raise_frame_error_only(body):
+    """Noise, truncated messages or deep nesting are rejected or skipped.
 
-    Only its own message may be lost by it, never this process.
+    Any other exception would end the receiving process.
     """
     try:
         message = decode(Envelope, body)
@@ -36,13 +36,13 @@
     assert message.body is None
 
 
-def test_mutated_messages_raise_nothing_else():
-    """Bits flip on the way, or a sender of another version adds fields."""
-    chance = random.Random(7)
-    whole = encode(Hello(name='a', proof=b'n' * 16))
+def test_mutated_messages_raise_frame_error_only():
+    """Random byte changes and truncation raise no other exception."""
+    rng = random.Random(7)
+    encoded = encode(Hello(name='a', proof=b'n' * 16))
     for _ in range(3000):
-        body = bytearray(whole)
-        for _ in range(chance.randint(1, 4)):
-            body[chance.randrange(len(body))] = chance.randrange(256)
+        body = bytearray(encoded)
+        for _ in range(rng.randint(1, 4)):
+            body[rng.randrange(len(body))] = rng.randrange(256)
         with suppress(FrameError):
-            decode(Hello, bytes(body[: chance.randint(0, len(body))]))
+            decode(Hello, bytes(body[: rng.randint(0, len(body))]))
--- a/godwitshunt/peer/tests/test_handshake.py
+++ b/godwitshunt/peer/tests/test_handshake.py
@@ -1,4 +1,4 @@
-"""Strangers on the ports between VMs, byte by byte."""
+"""Handshake with unauthenticated processes, over raw frames."""
 
 import asyncio
 from contextlib import asynccontextmanager, closing
@@ -15,7 +15,7 @@
     Hello,
     Opening,
 )
-from godwitshunt.peer.handshake import PROTOCOL_VERSION, greet, prove
+from godwitshunt.peer.handshake import PROTOCOL_VERSION, compute_proof, initiate
 from godwitshunt.peer.tests.test_links import KIND, started_links
 
 KEY = b'key'
@@ -24,20 +24,20 @@
 
 
 @asynccontextmanager
-async def listening(heard):
-    """Yield links with the key that keep every message in a list."""
+async def recording_links(received):
+    """Yield listening links that append every message to `received`."""
     async with started_links('b', KEY) as links:
 
-        async def keep(sender, body):
-            heard.append((sender, body))
+        async def record(sender, body):
+            received.append((sender, body))
             return body
 
-        links.subscribe(KIND, keep)
+        links.subscribe(KIND, record)
         yield links
 
 
-async def introduce(links, proof_of, version=PROTOCOL_VERSION):
-    """Connect with raw frames; send a message right after the proof."""
+async def connect_and_send(links, proof_of, version=PROTOCOL_VERSION):
+    """Connect by raw frames and send a message right after the proof."""
     address = links.options.listen
     reader, writer = await asyncio.open_connection(address.host, address.port)
     envelope = Envelope(MessageKind.vm_heartbeat, 1, False, b'x')
@@ -49,92 +49,98 @@
         return await asyncio.wait_for(read_frame(reader, 4096), 2)
 
 
-def sound(challenge):
-    """Prove the key."""
-    return prove(KEY, 'connecting', NAME, challenge.nonce, NONCE)
+def valid_proof(challenge):
+    """Return the proof of the cluster key."""
+    return compute_proof(KEY, 'connecting', NAME, challenge.nonce, NONCE)
 
 
-def another_key(challenge):
-    """Prove another key."""
-    return prove(b'other', 'connecting', NAME, challenge.nonce, NONCE)
+def wrong_key_proof(challenge):
+    """Return a proof under another key."""
+    return compute_proof(b'other', 'connecting', NAME, challenge.nonce, NONCE)
 
 
-def played_back(challenge):
-    """Give the proof of an earlier handshake, recorded on the network."""
-    return prove(KEY, 'connecting', NAME, b'o' * 16, NONCE)
+def replayed_proof(challenge):
+    """Return the proof of an earlier handshake."""
+    return compute_proof(KEY, 'connecting', NAME, b'o' * 16, NONCE)
 
 
-def reflected(challenge):
-    """Give the accepting side's own proof back to it."""
+def reflected_proof(challenge):
+    """Return the accepting side's own proof."""
     return challenge.proof
 
 
-def none_at_all(challenge):
-    """Give no proof."""
+def empty_proof(challenge):
+    """Return an empty proof."""
     return b''
 
 
-async def test_who_proves_the_key_is_heard():
-    """The message that goes right after the proof is answered."""
-    heard = []
-    async with listening(heard) as links:
-        reply = decode(Envelope, await introduce(links, sound))
+async def test_message_after_valid_proof_is_answered():
+    """A message sent right after the proof is handled and answered."""
+    received = []
+    async with recording_links(received) as links:
+        reply = decode(Envelope, await connect_and_send(links, valid_proof))
     assert reply.body == b'x'
-    assert heard == [(NAME, b'x')]
+    assert received == [(NAME, b'x')]
 
 
 @pytest.mark.parametrize(
     'proof_of',
-    [another_key, played_back, reflected, none_at_all],
+    [wrong_key_proof, replayed_proof, reflected_proof, empty_proof],
 )
-async def test_who_does_not_prove_the_key_is_not_heard(proof_of):
-    """A stranger sends a message without waiting for an answer.
+async def test_message_after_invalid_proof_is_ignored(proof_of):
+    """A process without the key sends a message right after its proof.
 
-    Heard, it could tell control VMs of upstreams and revisions that are not.
+    If it were handled, it could report false upstreams and revisions to
+    control VMs.
     """
-    heard = []
-    async with listening(heard) as links:
+    received = []
+    async with recording_links(received) as links:
         with pytest.raises((EOFError, OSError)):
-            await introduce(links, proof_of)
+            await connect_and_send(links, proof_of)
         text = links.metrics.render()
     assert b'peer_handshakes_refused_total' in text
-    assert heard == []
+    assert received == []
 
 
-async def test_another_version_is_refused():
-    """A VM runs the program of before, which shakes hands in other steps."""
-    heard = []
-    async with listening(heard) as links:
+async def test_other_protocol_version_is_refused():
+    """A VM still runs an older release with another handshake."""
+    received = []
+    async with recording_links(received) as links:
         with pytest.raises((EOFError, OSError)):
-            await introduce(links, sound, version=PROTOCOL_VERSION - 1)
+            await connect_and_send(
+                links, valid_proof, version=PROTOCOL_VERSION - 1
+            )
         text = links.metrics.render()
     assert b'peer_handshakes_refused_total' in text
-    assert heard == []
+    assert received == []
 
 
 @pytest.mark.parametrize('key', [b'other', KEY])
-async def test_nothing_is_sent_to_who_does_not_prove_the_key(key):
-    """Another process took a peer's address; it knows no key, or another.
+async def test_connecting_side_sends_nothing_after_invalid_proof(key):
+    """The accepting process has another key, or a proof of another nonce.
 
-    Neither the proof nor the first message may reach it.
+    Neither the connecting side's proof nor its first message may be sent to
+    a process that took over a peer's address.
     """
-    got = bytearray()
+    sent_bytes = bytearray()
 
-    async def pretend(reader, writer):
-        got.extend(await read_frame(reader, 4096))
-        proof = prove(key, 'accepting', 'b', b'not yours', NONCE)
+    async def impersonate_peer(reader, writer):
+        sent_bytes.extend(await read_frame(reader, 4096))
+        proof = compute_proof(key, 'accepting', 'b', b'not yours', NONCE)
         challenge = Challenge(PROTOCOL_VERSION, 'b', NONCE, proof)
-        opening = len(got)
+        opening_size = len(sent_bytes)
         writer.write(frame(encode(challenge)))
-        got.extend(await reader.read())
-        assert len(got) == opening
+        sent_bytes.extend(await reader.read())
+        assert len(sent_bytes) == opening_size
         writer.close()
 
-    server = await asyncio.start_server(pretend, '127.0.0.1', 0)
+    server = await asyncio.start_server(impersonate_peer, '127.0.0.1', 0)
     host, port = server.sockets[0].getsockname()
     reader, writer = await asyncio.open_connection(host, port)
     with pytest.raises(HandshakeError):
-        await greet(reader, writer, KEY, 'a')
+        await initiate(reader, writer, KEY, 'a')
     writer.close()
     server.close()
-    assert decode(Opening, bytes(got)).protocol_version == PROTOCOL_VERSION
+    assert (
+        decode(Opening, bytes(sent_bytes)).protocol_version == PROTOCOL_VERSION
+    )
--- a/godwitshunt/peer/tests/test_links.py
+++ b/godwitshunt/peer/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links between processes, over real sockets on free ports."""
+"""Peer links over TCP sockets on the loopback interface."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -29,7 +29,7 @@
     key: bytes = b'key',
     tls: TlsSettings | None = None,
 ):
-    """Yield links that listen, and close them."""
+    """Yield listening links; close them at exit."""
     links = PeerLinks.from_config(
         PeerOptions(
             name=name,
@@ -47,8 +47,8 @@
         await links.close()
 
 
-async def test_call_gets_its_own_reply():
-    """Replies that come in another order reach the right calls."""
+async def test_replies_are_matched_to_their_calls():
+    """Replies that arrive out of order complete the right calls."""
     async with started_links('a') as first, started_links('b') as second:
 
         async def echo(sender: str, body: bytes) -> bytes:
@@ -65,9 +65,9 @@
 
 
 async def test_wrong_key_is_refused():
-    """A process with another key is started by mistake.
+    """Calls under another key fail as `NotSent`.
 
-    Its calls fail as not sent, and the other side counts the handshake.
+    The accepting side counts the refused handshake.
     """
     async with (
         started_links('a', b'one') as first,
@@ -75,7 +75,7 @@
     ):
         reply = await first.call(second.options.listen, KIND, b'', 5)
         assert isinstance(reply.err_value, NotSent)
-        # The side that connects learns of it first, and leaves.
+        # The connecting side fails first; the other side counts it later.
         for _ in range(200):
             text = second.metrics.render()
             if text:
@@ -84,20 +84,20 @@
         assert b'peer_handshakes_refused_total' in text
 
 
-async def test_peer_that_dies_after_the_call_leaves_the_outcome_unknown():
-    """The peer stops between receiving a call and replying.
+async def test_peer_crash_before_the_reply_is_outcome_unknown():
+    """The peer stops after it received a call and before it replies.
 
-    The sender must not take the call for one that never ran.
+    The caller must not treat the call as one that never ran.
     """
     async with started_links('a') as first, started_links('b') as second:
         received = asyncio.Event()
 
-        async def never(sender: str, body: bytes) -> bytes:
+        async def never_reply(sender: str, body: bytes) -> bytes:
             received.set()
             await asyncio.sleep(60)
             return b''
 
-        second.subscribe(KIND, never)
+        second.subscribe(KIND, never_reply)
         call = asyncio.create_task(
             first.call(second.options.listen, KIND, b'', 60),
         )
@@ -107,15 +107,15 @@
         assert isinstance(reply.err_value, OutcomeUnknown)
 
 
-async def test_unreachable_peer_fails_as_not_sent():
-    """Nothing listens at the address, as after a VM was stopped."""
+async def test_call_to_unreachable_peer_is_not_sent():
+    """No process listens on the address, as after a VM was stopped."""
     async with started_links('a') as first:
         reply = await first.call(free_address(), KIND, b'', 5)
         assert isinstance(reply.err_value, NotSent)
 
 
 @pytest.mark.parametrize(
-    'garbage',
+    'malformed',
     [
         b'GET / HTTP/1.1\r\n\r\n',
         b'\xff\xff\xff\xff',
@@ -124,10 +124,10 @@
         b'\x00\x00',
     ],
 )
-async def test_garbage_closes_only_its_own_connection(garbage):
-    """A scanner or a broken process sends bytes that are no frames.
+async def test_malformed_frames_close_only_their_own_connection(malformed):
+    """A port scanner or a faulty process sends bytes that are not frames.
 
-    Its connection is closed; calls of real peers go on.
+    Its connection is closed; calls of other peers continue.
     """
     async with started_links('a') as first, started_links('b') as second:
 
@@ -137,7 +137,7 @@
         second.subscribe(KIND, echo)
         listen = second.options.listen
         reader, writer = await asyncio.open_connection(listen.host, listen.port)
-        writer.write(garbage)
+        writer.write(malformed)
         writer.write_eof()
         async with asyncio.timeout(10):
             await reader.read()
@@ -147,32 +147,32 @@
 
 
 def make_tls(folder, authority: trustme.CA, name: str) -> TlsSettings:
-    """Write a certificate for the loopback address and return its settings."""
+    """Write a certificate for the loopback address; return its settings."""
     certificate = authority.issue_cert('127.0.0.1')
-    paths = TlsSettings(
+    settings = TlsSettings(
         certificate=folder / f'{name}.pem',
         key=folder / f'{name}.key',
         authority=folder / f'{name}.ca',
     )
-    certificate.cert_chain_pems[0].write_to_path(paths.certificate)
-    certificate.private_key_pem.write_to_path(paths.key)
-    authority.cert_pem.write_to_path(paths.authority)
-    return paths
+    certificate.cert_chain_pems[0].write_to_path(settings.certificate)
+    certificate.private_key_pem.write_to_path(settings.key)
+    authority.cert_pem.write_to_path(settings.authority)
+    return settings
 
 
-async def test_links_over_tls_need_a_certificate_of_the_authority(tmp_path):
-    """A VM of another deployment knows the key but has another authority.
+async def test_tls_requires_a_certificate_of_the_same_authority(tmp_path):
+    """A VM with the key and a certificate of another authority is refused.
 
-    It is refused before any message; VMs with the right authority talk.
+    VMs with certificates of the deployment's authority exchange messages.
     """
     authority = trustme.CA()
     own = make_tls(tmp_path, authority, 'own')
     other = make_tls(tmp_path, authority, 'other')
-    strange = make_tls(tmp_path, trustme.CA(), 'strange')
+    foreign = make_tls(tmp_path, trustme.CA(), 'foreign')
     async with (
         started_links('a', tls=own) as first,
         started_links('b', tls=other) as second,
-        started_links('c', tls=strange) as third,
+        started_links('c', tls=foreign) as third,
     ):
 
         async def echo(sender: str, body: bytes) -> bytes:
@@ -186,14 +186,14 @@
         assert isinstance(refused.err_value, NotSent)
 
 
-async def test_closing_links_report_no_fault():
-    """A VM is shut down while peers are connected.
+async def test_closing_connected_links_reports_no_error():
+    """A regular shutdown with connected peers logs no traceback.
 
-    Tracebacks in its log would send an operator after a fault that is none.
+    Operators would take it for a fault.
     """
     reported = []
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, fault: reported.append(fault))
+    loop.set_exception_handler(lambda _, context: reported.append(context))
     async with started_links('a') as first, started_links('b') as second:
 
         async def echo(sender: str, body: bytes) -> bytes:
@@ -206,39 +206,39 @@
     assert not reported
 
 
-async def test_a_peer_that_gets_power_is_reached_by_a_second_attempt(
+async def test_lost_connection_attempt_is_retried(
     monkeypatch,
 ):
-    """The opening packet is lost, since its receiver has no power yet.
+    """The first SYN is lost because the peer's VM is still booting.
 
-    The kernel sends the next one after a second; all that a VM learns through
-    the link would come so much later.
+    The kernel retransmits it after 1 s, which would delay the link by as
+    much; a second attempt must succeed within the call's timeout.
     """
     async with started_links('a') as first, started_links('b') as second:
         lost = []
         connect = asyncio.open_connection
 
-        async def open_later(*places, **options):
+        async def lose_first_attempt(*endpoint, **options):
             if not lost:
-                lost.append(places)
+                lost.append(endpoint)
                 await asyncio.Event().wait()
-            return await connect(*places, **options)
+            return await connect(*endpoint, **options)
 
         async def echo(sender: str, body: bytes) -> bytes:
             return body
 
         second.subscribe(KIND, echo)
-        monkeypatch.setattr(asyncio, 'open_connection', open_later)
+        monkeypatch.setattr(asyncio, 'open_connection', lose_first_attempt)
         reply = await first.call(second.options.listen, KIND, b'x', 1.0)
         assert reply.ok_value == b'x'
         assert lost
 
 
-async def test_a_link_that_nothing_uses_is_closed_and_made_again(monkeypatch):
-    """An entry VM asks five control VMs once, and then one of them only.
+async def test_idle_link_is_closed_and_reopened(monkeypatch):
+    """An entry VM queries five control VMs once, and then only one of them.
 
-    The links to the others would be pinged for ever, between regions, by each
-    of hundreds of VMs.
+    If the idle links stayed open, each of hundreds of VMs would ping the
+    other four across regions for ever.
     """
     monkeypatch.setattr('godwitshunt.peer.link.IDLE_AFTER_S', 0.2)
     monkeypatch.setattr('godwitshunt.peer.link.PING_AFTER_S', 0.05)
@@ -259,35 +259,36 @@
         assert (await first.call(address, KIND, b'two', 5)).ok_value == b'two'
 
 
-async def test_a_link_is_kept_while_a_call_waits(monkeypatch):
-    """The peer needs longer for an answer than links may idle."""
+async def test_link_with_a_pending_call_is_not_idle(monkeypatch):
+    """The link stays open for a call that outlasts the idle timeout."""
     monkeypatch.setattr('godwitshunt.peer.link.IDLE_AFTER_S', 0.05)
     monkeypatch.setattr('godwitshunt.peer.link.PING_AFTER_S', 0.02)
     async with started_links('a') as first, started_links('b') as second:
 
-        async def take_time(sender: str, body: bytes) -> bytes:
+        async def reply_late(sender: str, body: bytes) -> bytes:
             await asyncio.sleep(0.3)
             return body
 
-        second.subscribe(KIND, take_time)
+        second.subscribe(KIND, reply_late)
         reply = await first.call(second.options.listen, KIND, b'late', 5)
         assert reply.ok_value == b'late'
 
 
-async def test_message_that_a_handler_fails_on_ends_no_other_call():
-    """A message that its reader has a fault with, sent on and on.
+async def test_handler_exception_fails_only_its_own_call():
+    """A bug in a handler must not break the connection.
 
-    It took down the link with all calls on it, at one process after another.
+    A message that raised in its handler and was retried broke all calls on
+    the link, at one process after another.
     """
     async with started_links('a') as first, started_links('b') as second:
 
-        async def read(sender: str, body: bytes) -> bytes:
+        async def handle_body(sender: str, body: bytes) -> bytes:
             if body == b'bad':
-                raise KeyError('a fault of the reader')
+                raise KeyError('bug in the handler')
             await asyncio.sleep(0.1)
             return body
 
-        second.subscribe(KIND, read)
+        second.subscribe(KIND, handle_body)
         address = second.options.listen
         good, bad = await asyncio.gather(
             first.call(address, KIND, b'good', 2),
--- a/godwitshunt/peer/tls.py
+++ b/godwitshunt/peer/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from settings, for peer links and HTTP listeners."""
+"""TLS contexts for peer links and HTTP listeners."""
 
 import ssl
 
@@ -6,10 +6,10 @@
 
 
 def server_context(tls: TlsSettings | None) -> ssl.SSLContext | None:
-    """Return the context for a listener; None where TLS is not set.
+    """Return the TLS context of a listener; None if TLS is not configured.
 
-    Where the settings name an authority, the other side must show a
-    certificate from it.
+    If the settings name a certificate authority, clients must present a
+    certificate that it issued.
     """
     if tls is None:
         return None
@@ -22,10 +22,10 @@
 
 
 def client_context(tls: TlsSettings | None) -> ssl.SSLContext | None:
-    """Return the context for connections to peers; None without TLS.
+    """Return the TLS context of connections to peers; None without TLS.
 
-    Certificates are checked against the deployment's own authority and the
-    IP address that was connected to.
+    The peer's certificate must be issued by the deployment's own certificate
+    authority for the IP address that is connected to.
     """
     if tls is None:
         return None
