--- a/godwitshunt/telemetry/__init__.py
+++ b/godwitshunt/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Counters, histograms and log lines for changes of state."""
+"""Metrics, and structured log lines for changes of state."""
 
 from godwitshunt.telemetry.metrics import Metrics
 from godwitshunt.telemetry.records import (
--- a/godwitshunt/telemetry/metrics.py
+++ b/godwitshunt/telemetry/metrics.py
@@ -23,10 +23,10 @@
 
 
 class Metrics:
-    """Every metric of a process, made at first use.
+    """Metrics of one process, registered at first use.
 
-    Names and label names are fixed in code; label values are names from the
-    manifest, so that a stranger's request cannot make new ones.
+    Metric and label names are fixed in the code. Label values are names from
+    the manifest, so that requests cannot create new time series.
 
     Examples
     --------
@@ -41,7 +41,7 @@
         self.metrics: dict[str, Counter | Gauge | Histogram] = {}
 
     def count(self, name: str, amount: int = 1, **labels: str) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         self.metric(name, Counter).add(labels, amount)
 
     def gauge(self, name: str, reading: float, **labels: str) -> None:
@@ -49,11 +49,11 @@
         self.metric(name, Gauge).set(labels, reading)
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Add one duration in seconds to a histogram."""
+        """Record a duration, in seconds, in a histogram."""
         self.metric(name, Histogram).observe(labels, seconds)
 
     def metric(self, name: str, kind: type) -> Counter | Gauge | Histogram:
-        """Return a metric, made and registered at first use."""
+        """Return a metric, created and registered at first use."""
         if name not in self.metrics:
             options = {'registry': self.registry}
             if kind is Histogram:
--- a/godwitshunt/telemetry/output.py
+++ b/godwitshunt/telemetry/output.py
@@ -1,4 +1,4 @@
-"""Log lines to a descriptor, by a thread that alone waits for its reader."""
+"""Log output to a file descriptor by a background thread."""
 
 import os
 import threading
@@ -10,25 +10,25 @@
 
 from godwitshunt.telemetry.budget import LineBudget, LineLimits
 
-FLUSH_S = 0.1
-CLOSE_S = 0.3
-NOTICE_S = 10.0
-DROPPED = 'telemetry:lines_dropped'
+FLUSH_INTERVAL_S = 0.1
+CLOSE_TIMEOUT_S = 0.3
+DROPPED_REPORT_INTERVAL_S = 10.0
+DROPPED_KIND = 'telemetry:lines_dropped'
 
 
 class LineOutput:
-    """Takes log lines and writes them in batches.
+    """Queues log lines and writes them in batches from a thread.
 
-    Standard output may be a pipe that nobody reads: a write then waits for
-    ever, and with it every request of the process. So a thread writes, what
-    waits for it is bounded, and what does not fit is counted and dropped.
+    Standard output may be a pipe whose reader has stopped; a write then blocks
+    for ever, and on the event loop it would block every request. The queue of
+    the thread is bounded; lines that exceed it are dropped and counted.
 
     Parameters
     ----------
     descriptor : int
-        Where lines go.
+        File descriptor that lines are written to.
     limits : LineLimits
-        Lines in a second, and bytes that may wait.
+        Limits of the line rate and of the queue; None for the defaults.
     """
 
     def __init__(
@@ -39,71 +39,74 @@
         self.descriptor = descriptor
         self.limits = limits or LineLimits()
         self.budget = LineBudget(self.limits)
-        self.waiting: deque[bytes] = deque()
-        self.waiting_bytes = 0
-        self.told = 0
-        self.told_at_s = 0.0
+        self.queue: deque[bytes] = deque()
+        self.queued_bytes = 0
+        self.reported_dropped = 0
+        self.reported_at_s = 0.0
         self.closing = False
         self.wake = threading.Event()
         self.thread = threading.Thread(target=self.run, daemon=True)
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the writer thread."""
         self.thread.start()
 
     def close(self) -> None:
-        """Write what waits, for a bounded time."""
+        """Write the queued lines, for at most `CLOSE_TIMEOUT_S`."""
         self.closing = True
         self.wake.set()
-        self.thread.join(CLOSE_S)
+        self.thread.join(CLOSE_TIMEOUT_S)
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take a line; never waits."""
+        """Queue or drop a line, without blocking."""
         now_s = time.monotonic()
-        self.tell_dropped(now_s)
-        if self.waiting_bytes > self.limits.waiting_bytes:
+        self.report_dropped(now_s)
+        if self.queued_bytes > self.limits.max_queued_bytes:
             self.budget.dropped += 1
-        elif self.budget.admits(message, now_s):
-            self.put(message)
+        elif self.budget.admit(message, now_s):
+            self.enqueue(message)
 
-    def put(self, message: dict[str, Any]) -> None:
-        """Queue a line for the thread."""
+    def enqueue(self, message: dict[str, Any]) -> None:
+        """Encode a line and queue it for the writer thread."""
         options = orjson.OPT_APPEND_NEWLINE
         line = orjson.dumps(message, default=repr, option=options)
-        self.waiting.append(line)
-        self.waiting_bytes += len(line)
+        self.queue.append(line)
+        self.queued_bytes += len(line)
         if not self.wake.is_set():
             self.wake.set()
 
-    def tell_dropped(self, now_s: float) -> None:
-        """Queue a line that says how many were dropped since the last one."""
-        fresh = self.budget.dropped - self.told
-        if fresh and now_s - self.told_at_s > NOTICE_S:
-            self.told = self.budget.dropped
-            self.told_at_s = now_s
-            self.put({'message_type': DROPPED, 'lines': fresh})
+    def report_dropped(self, now_s: float) -> None:
+        """Log the number of lines dropped since the last such report."""
+        newly_dropped = self.budget.dropped - self.reported_dropped
+        if (
+            newly_dropped
+            and now_s - self.reported_at_s > DROPPED_REPORT_INTERVAL_S
+        ):
+            self.reported_dropped = self.budget.dropped
+            self.reported_at_s = now_s
+            self.enqueue({'message_type': DROPPED_KIND, 'lines': newly_dropped})
 
     def run(self) -> None:
-        """Write batches until closed."""
+        """Write batches until closed or until a write fails."""
         written = True
-        while written and not (self.closing and not self.waiting):
+        while written and not (self.closing and not self.queue):
             self.wake.wait()
             self.wake.clear()
             if not self.closing:
-                time.sleep(FLUSH_S)
+                time.sleep(FLUSH_INTERVAL_S)
             written = self.write_batch()
 
     def write_batch(self) -> bool:
-        """Write what waits; False where nobody can read it any more."""
-        count = len(self.waiting)
-        batch = b''.join(self.waiting.popleft() for _ in range(count))
-        rest = memoryview(batch)
+        """Write the queued lines; return False if the descriptor is closed."""
+        count = len(self.queue)
+        batch = b''.join(self.queue.popleft() for _ in range(count))
+        remaining = memoryview(batch)
         try:
-            while rest:
-                rest = rest[os.write(self.descriptor, rest) :]
+            while remaining:
+                remaining = remaining[os.write(self.descriptor, remaining) :]
         except OSError:
-            # Standard output is closed: there is nowhere to tell it.
+            # The log output itself is closed, so the error cannot be logged.
             return False
         finally:
-            self.waiting_bytes -= len(batch)
+            self.queued_bytes -= len(batch)
         return True
--- a/godwitshunt/telemetry/records.py
+++ b/godwitshunt/telemetry/records.py
@@ -1,4 +1,4 @@
-"""Log lines, as JSON, for changes of state only."""
+"""JSON log lines, written for changes of state only."""
 
 import sys
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 def open_log(path: Path | None) -> None:
-    """Write log lines to a file, or to standard error without one."""
+    """Write log lines to a file, or to standard error if `path` is None."""
     if path is None:
         eliot.to_file(sys.stderr)
         return
@@ -19,7 +19,7 @@
 
 
 def open_standard_output() -> LineOutput:
-    """Write log lines to standard output; close what is returned at the end."""
+    """Write log lines to standard output; the caller closes the result."""
     output = LineOutput(sys.stdout.fileno())
     output.start()
     eliot.add_destinations(output)
@@ -32,8 +32,8 @@
     Parameters
     ----------
     change : str
-        Slice and change, such as ``membership:upstream_expired``.
+        Package and change, such as ``membership:upstream_expired``.
     **fields
-        Values that tell what changed; names carry units.
+        Values that describe the change; names include units.
     """
     eliot.log_message(message_type=change, **fields)
--- a/godwitshunt/telemetry/tests/__init__.py
+++ b/godwitshunt/telemetry/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this slice."""
+"""Tests of metrics and log output."""
--- a/godwitshunt/telemetry/tests/test_output.py
+++ b/godwitshunt/telemetry/tests/test_output.py
@@ -1,4 +1,4 @@
-"""Log lines whose reader is slow, or reads nothing at all."""
+"""Log output with slow or stopped readers, and sampling of log lines."""
 
 import json
 import os
@@ -11,18 +11,18 @@
 
 
 def test_unread_output_never_blocks_and_is_bounded():
-    """Nobody reads the pipe that standard output is.
+    """Standard output is a pipe whose reader has stopped.
 
-    A write that waits there would stop every request of the process; lines
-    kept for later would fill its memory.
+    A blocking write would stall every request of the process, and an
+    unbounded queue would exhaust its memory.
     """
-    reading, writing = os.pipe()
+    read_fd, write_fd = os.pipe()
     limits = LineLimits(
-        ordinary_per_s=10**9,
-        lines_per_s=10**9,
-        waiting_bytes=200_000,
+        sampling_threshold_per_s=10**9,
+        max_lines_per_s=10**9,
+        max_queued_bytes=200_000,
     )
-    output = LineOutput(writing, limits)
+    output = LineOutput(write_fd, limits)
     output.start()
     started_s = time.monotonic()
     slowest_s = 0.0
@@ -32,45 +32,49 @@
         slowest_s = max(slowest_s, time.monotonic() - before_s)
     took_s = time.monotonic() - started_s
     assert (took_s < 3, slowest_s < 1) == (True, True)
-    assert output.waiting_bytes < 250_000
+    assert output.queued_bytes < 250_000
     assert output.budget.dropped > 10_000
-    os.close(reading)
+    os.close(read_fd)
 
 
-def test_lines_come_in_order_and_whole():
-    """A reader that keeps up gets every line."""
-    reading, writing = os.pipe()
-    output = LineOutput(writing)
+def test_lines_are_complete_and_in_order():
+    """A reader that keeps up receives every line."""
+    read_fd, write_fd = os.pipe()
+    output = LineOutput(write_fd)
     output.start()
     for number in range(50):
         output({'message_type': 'a', 'number': number})
     output.close()
-    os.close(writing)
-    with os.fdopen(reading) as lines:
+    os.close(write_fd)
+    with os.fdopen(read_fd) as lines:
         numbers = [json.loads(line)['number'] for line in lines]
     assert numbers == list(range(50))
 
 
-def test_failures_are_kept_when_successes_are_sampled():
-    """A burst of requests; someone on call looks for the failed ones."""
-    budget = LineBudget(LineLimits(ordinary_per_s=100, lines_per_s=1000))
+def test_failures_are_written_when_successes_are_sampled():
+    """A burst of requests; operators need the lines of all failed ones."""
+    budget = LineBudget(
+        LineLimits(sampling_threshold_per_s=100, max_lines_per_s=1000),
+    )
     endings = ['streamed', 'streamed', 'broken off']
-    kept = [
+    written = [
         endings[number % 3]
         for number in range(900)
-        if budget.admits(
+        if budget.admit(
             {'ending': endings[number % 3], 'request': f'r{number}'},
             5.0,
         )
     ]
-    assert kept.count('broken off') == 300
-    assert 60 < kept.count('streamed') < 200
+    assert written.count('broken off') == 300
+    assert 60 < written.count('streamed') < 200
 
 
-def test_two_machines_keep_the_same_requests():
-    """A request that two machines had is explained by both their lines."""
-    lines = [{'ending': 'streamed', 'request': f'r{one}'} for one in range(99)]
-    limits = LineLimits(ordinary_per_s=0, lines_per_s=1000)
-    first = [one for one in lines if LineBudget(limits).admits(one, 1.0)]
-    second = [one for one in lines if LineBudget(limits).admits(one, 9.0)]
+def test_two_vms_sample_the_same_requests():
+    """A request that two VMs handled has either both lines or none."""
+    lines = [
+        {'ending': 'streamed', 'request': f'r{line}'} for line in range(99)
+    ]
+    limits = LineLimits(sampling_threshold_per_s=0, max_lines_per_s=1000)
+    first = [line for line in lines if LineBudget(limits).admit(line, 1.0)]
+    second = [line for line in lines if LineBudget(limits).admit(line, 9.0)]
     assert first == second
