--- a/godwitshunt/tracing/__init__.py
+++ b/godwitshunt/tracing/__init__.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause: one request's lines of many logs."""
+"""Analysis of the request log lines of many processes."""
 
 from godwitshunt.tracing.lines import LogLine, read_logs
 from godwitshunt.tracing.losses import LossRow, tabulate_losses
--- a/godwitshunt/tracing/lines.py
+++ b/godwitshunt/tracing/lines.py
@@ -1,4 +1,4 @@
-"""Log lines of processes, as they stand in files."""
+"""Parsing of log lines from files."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-# A collector may put a time and the process's name before each line.
+# Log collectors may prefix each line with a time and the process's name.
 JSON_START = '{'
 
 
@@ -17,14 +17,14 @@
     Parameters
     ----------
     source : str
-        The process: the last word before the document on its line, or the
-        file's name without ending.
+        Name of the process: the last word before the JSON document, or the
+        stem of the file name if the line has no prefix.
     kind : str
-        What the line tells of, such as ``ingress:request_ended``.
+        Kind of the line (``message_type``), such as ``ingress:request_ended``.
     at_s : float
-        Time of day of the process that wrote it, in seconds.
+        Unix time by the writing process's clock, in seconds.
     fields : dict
-        All fields.
+        All fields of the JSON document.
     """
 
     source: str
@@ -34,7 +34,7 @@
 
     @classmethod
     def from_text(cls, text: str, file_name: str) -> Self | None:
-        """Read a line; None for one that is no log line.
+        """Parse a line; return None if it is not a log line.
 
         Examples
         --------
@@ -43,14 +43,14 @@
         >>> LogLine.from_text('Traceback', 'all') is None
         True
         """
-        before, brace, document = text.partition(JSON_START)
-        if not brace:
+        prefix, opening, document = text.partition(JSON_START)
+        if not opening:
             return None
         try:
-            fields = json.loads(brace + document)
+            fields = json.loads(opening + document)
         except ValueError:
             return None
-        words = before.split()
+        words = prefix.split()
         return cls(
             source=words[-1] if words else file_name,
             kind=str(fields.get('message_type', '')),
@@ -60,12 +60,12 @@
 
 
 def read_logs(files: Iterable[Path]) -> Iterator[LogLine]:
-    """Give the lines of several logs, file after file.
+    """Yield the log lines of several files, one file after another.
 
     Raises
     ------
     OSError
-        Where a file cannot be read.
+        If a file cannot be read.
     """
     for file in files:
         with file.open(encoding='utf-8', errors='replace') as log:
--- a/godwitshunt/tracing/losses.py
+++ b/godwitshunt/tracing/losses.py
@@ -1,8 +1,8 @@
-"""Which requests did not end as their callers wish, when and why; pure.
+"""Table of failed and late requests by reason; no I/O.
 
-Each entry VM writes one line a request. This gathers the lines of the VMs that
-took them from callers into a table: a row for each reason, with its kinds of
-request and its moments.
+Each entry VM writes one line per request that it handled. The table counts the
+lines of the VMs that received the requests from callers: one row for each
+reason, with counts by route and by time window.
 """
 
 from collections import Counter
@@ -11,7 +11,11 @@
 from math import floor
 
 from godwitshunt.tracing.lines import LogLine
-from godwitshunt.tracing.timeline import ENDED, REFUSED, places_of
+from godwitshunt.tracing.timeline import (
+    ENDED_KIND,
+    REFUSED_KIND,
+    list_destinations,
+)
 
 WINDOW_S = 2.0
 IN_TIME = 'in time'
@@ -19,16 +23,17 @@
 
 @dataclass
 class LossRow:
-    """The requests that one reason cost.
+    """Requests that failed or were late for one reason.
 
     Parameters
     ----------
     routes : Counter
-        Requests by route.
+        Number of requests by route.
     windows : Counter
-        Requests by window, counted in `WINDOW_S` from the first line.
+        Number of requests by index of the window of `WINDOW_S` seconds since
+        the first line.
     example : str
-        Id of one of them, for ``godwitshunt trace``.
+        Id of one of the requests, for ``godwitshunt trace``.
     """
 
     count: int = 0
@@ -45,82 +50,87 @@
 
 
 def tabulate_losses(logs: Iterable[LogLine]) -> dict[str, LossRow]:
-    """Return a row for each reason, the most requests first.
+    """Return a row for each reason, in descending order of requests.
 
-    Requests that ended in time have a row, too, so that shares can be taken.
+    Requests that ended in time have a row too, so that fractions of the total
+    can be computed.
     """
-    lines = [one for one in logs if is_of_caller(one)]
-    start_s = min((one.at_s for one in lines), default=0.0)
+    lines = [log_line for log_line in logs if is_from_receiving_vm(log_line)]
+    start_s = min((log_line.at_s for log_line in lines), default=0.0)
     rows: dict[str, LossRow] = {}
     for line in lines:
         window = floor((line.at_s - start_s) / WINDOW_S)
-        rows.setdefault(reason_of_loss(line), LossRow()).add(line, window)
+        rows.setdefault(loss_reason(line), LossRow()).add(line, window)
     return dict(sorted(rows.items(), key=lambda row: -row[1].count))
 
 
-def is_of_caller(line: LogLine) -> bool:
-    """Tell whether a line is of the VM that took a request from its caller."""
-    if line.kind == REFUSED:
+def is_from_receiving_vm(line: LogLine) -> bool:
+    """Return whether the VM of a line received the request from its caller."""
+    if line.kind == REFUSED_KIND:
         return True
-    return line.kind == ENDED and not line.fields.get('handed_over')
+    return line.kind == ENDED_KIND and not line.fields.get('handed_over')
 
 
-def reason_of_loss(line: LogLine) -> str:
-    """Return why a request is a loss, or that it is none.
+def loss_reason(line: LogLine) -> str:
+    """Return why a request failed or was late, or `IN_TIME`.
 
     Examples
     --------
-    >>> told = {'ending': 'streamed', 'first_s': 2.0, 'objective_s': 0.8}
-    >>> told |= {
+    >>> fields = {'ending': 'streamed', 'first_s': 2.0, 'objective_s': 0.8}
+    >>> fields |= {
     ...     'choices': ['i-1 of i-1@a=0.100s/0.1/3/0'],
     ...     'attempts': ['x:y'],
     ... }
-    >>> reason_of_loss(LogLine('e-1', ENDED, 0.0, told))
+    >>> loss_reason(LogLine('e-1', ENDED_KIND, 0.0, fields))
     'late: longer than predicted'
     """
-    told = line.fields
-    if line.kind == REFUSED:
-        return f'not admitted: {told.get("detail")}'
-    ending = told['ending']
+    fields = line.fields
+    if line.kind == REFUSED_KIND:
+        return f'not admitted: {fields.get("detail")}'
+    ending = fields['ending']
     if ending.startswith('answered 5'):
         return 'answered with an upstream failure'
     if not ending.startswith(('streamed', 'answered')):
         return ending
-    objective_s = told.get('objective_s') or float('inf')
-    if (told.get('first_s') or 0.0) > objective_s:
-        return f'late: {why_late(told, objective_s)}'
-    longest_s = told.get('longest_gap_s') or 0.0
-    if longest_s > (told.get('gap_s') or float('inf')):
+    objective_s = fields.get('objective_s') or float('inf')
+    if (fields.get('first_s') or 0.0) > objective_s:
+        return f'late: {late_reason(fields, objective_s)}'
+    longest_s = fields.get('longest_gap_s') or 0.0
+    if longest_s > (fields.get('gap_s') or float('inf')):
         return 'late: a pause within the stream'
     return IN_TIME
 
 
-def why_late(told: dict, objective_s: float) -> str:
-    """Return why a first event or an answer came late."""
-    if len(told['attempts']) > 1:
+def late_reason(fields: dict, objective_s: float) -> str:
+    """Return why the first event or the answer was late."""
+    if len(fields['attempts']) > 1:
         return 'an attempt before it failed'
-    predicted_s = predicted_of(told['choices'][-1]) if told['choices'] else 0.0
+    predicted_s = (
+        parse_predicted_s(fields['choices'][-1]) if fields['choices'] else 0.0
+    )
     if predicted_s > objective_s:
         return 'as predicted'
-    places = places_of(told)
-    if places and '/' in places[-1]:
+    destinations = list_destinations(fields)
+    if destinations and '/' in destinations[-1]:
         return 'in another region'
     return 'longer than predicted'
 
 
-def predicted_of(choice: str) -> float:
-    """Return the seconds that a choice was predicted to take.
+def parse_predicted_s(choice: str) -> float:
+    """Return the predicted time of a choice, in seconds; 0 if not listed.
 
     Examples
     --------
-    >>> predicted_of('i-2 of i-1@a=0.100s/0.1/3/0 i-2@a=0.250s/0.3/4/0')
+    >>> parse_predicted_s('i-2 of i-1@a=0.100s/0.1/3/0 i-2@a=0.250s/0.3/4/0')
     0.25
     """
-    place, _, listed = choice.partition(' of ')
-    region = place.partition('/')[0]
-    for one in listed.split():
-        name, _, figures = one.partition('=')
-        instance, _, where = name.partition('@')
-        if instance == place or ('/' in place and where == region):
-            return float(figures.partition('s/')[0])
+    destination, _, candidates = choice.partition(' of ')
+    region = destination.partition('/')[0]
+    for candidate in candidates.split():
+        name, _, estimate = candidate.partition('=')
+        instance, _, candidate_region = name.partition('@')
+        if instance == destination or (
+            '/' in destination and candidate_region == region
+        ):
+            return float(estimate.partition('s/')[0])
     return 0.0
--- a/godwitshunt/tracing/stages.py
+++ b/godwitshunt/tracing/stages.py
@@ -1,33 +1,37 @@
-"""How long requests take from stage to stage, from log lines; pure."""
+"""Durations of the stages of requests, from log lines; no I/O."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 from math import ceil
 
 from godwitshunt.tracing.lines import LogLine
-from godwitshunt.tracing.losses import is_of_caller
-from godwitshunt.tracing.timeline import ENDED
+from godwitshunt.tracing.losses import is_from_receiving_vm
+from godwitshunt.tracing.timeline import ENDED_KIND
 
-# In the order in which a request reaches them.
+# In the order in which a request reaches them; the names are keys in log lines.
 STAGES = ('admitted', 'placed', 'connected', 'sent', 'heard')
 MILLISECONDS = 1000
-# A request that takes longer than this part of its objective to be sent to
-# its first upstream has little left for that.
+# Fractions of the objective. A request that is sent to its first upstream later
+# than this leaves the upstream little time.
 LATE_SHARE = 0.1
 VERY_LATE_SHARE = 0.5
 
 
 @dataclass
 class StageTimes:
-    """Requests of one objective, and how long each of their stages took.
+    """Stage durations of the requests of one route.
 
     Parameters
     ----------
+    objective_s : float
+        Latency objective of the requests, in seconds.
+    requests : int
+        Number of requests.
     took_ms : dict
-        By stage, milliseconds from the stage before.
+        Milliseconds since the previous stage, by stage.
     late, very_late : int
-        Requests that took longer than a tenth, and than half, of their
-        objective to be sent out for the first time.
+        Requests that were first sent to an upstream after more than
+        `LATE_SHARE` or `VERY_LATE_SHARE` of their objective.
     """
 
     objective_s: float
@@ -36,41 +40,56 @@
     late: int = 0
     very_late: int = 0
 
-    def add(self, reached: dict[str, float]) -> None:
-        """Count one request by when it reached its stages."""
+    def add(self, reached_ms: dict[str, float]) -> None:
+        """Count a request.
+
+        Parameters
+        ----------
+        reached_ms : dict
+            Milliseconds from the start of the request, by stage.
+        """
         self.requests += 1
         before_ms = 0.0
-        known = [(one, reached[one]) for one in STAGES if one in reached]
-        for stage, at_ms in known:
+        reached_stages = [
+            (name, reached_ms[name]) for name in STAGES if name in reached_ms
+        ]
+        for stage, at_ms in reached_stages:
             took_ms = max(0.0, at_ms - before_ms)
             self.took_ms.setdefault(stage, []).append(took_ms)
             before_ms = at_ms
-        share = reached.get('sent', 0.0) / MILLISECONDS / self.objective_s
-        self.late += share > LATE_SHARE
-        self.very_late += share > VERY_LATE_SHARE
+        fraction = reached_ms.get('sent', 0.0) / MILLISECONDS / self.objective_s
+        self.late += fraction > LATE_SHARE
+        self.very_late += fraction > VERY_LATE_SHARE
 
 
 def tabulate_stages(logs: Iterable[LogLine]) -> dict[str, StageTimes]:
-    """Return the times of each route's requests, by the route's name."""
-    found: dict[str, StageTimes] = {}
+    """Return the stage durations of requests, by route."""
+    times_by_route: dict[str, StageTimes] = {}
     for line in logs:
-        told = line.fields
-        if line.kind != ENDED or not is_of_caller(line):
+        fields = line.fields
+        if line.kind != ENDED_KIND or not is_from_receiving_vm(line):
             continue
-        if told.get('stages') and told.get('objective_s'):
-            route = str(told.get('route', '-'))
-            times = StageTimes(told['objective_s'])
-            found.setdefault(route, times).add(told['stages'])
-    return found
+        if fields.get('stages') and fields.get('objective_s'):
+            route = str(fields.get('route', '-'))
+            times = StageTimes(fields['objective_s'])
+            times_by_route.setdefault(route, times).add(fields['stages'])
+    return times_by_route
+
 
+def percentile(samples: Sequence[float], fraction: float) -> float:
+    """Return the nearest-rank percentile of samples.
 
-def percentile(figures: Sequence[float], share: float) -> float:
-    """Return the smallest figure that a share of all does not exceed.
+    Parameters
+    ----------
+    samples : sequence of float
+        Samples in any order, at least one.
+    fraction : float
+        Rank of the percentile, from 0 to 1.
 
     Examples
     --------
     >>> percentile([3.0, 1.0, 2.0, 4.0], 0.5)
     2.0
     """
-    ordered = sorted(figures)
-    return ordered[max(0, ceil(share * len(ordered)) - 1)]
+    ordered = sorted(samples)
+    return ordered[max(0, ceil(fraction * len(ordered)) - 1)]
--- a/godwitshunt/tracing/tests/__init__.py
+++ b/godwitshunt/tracing/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of request stories."""
+"""Tests of the analysis of request log lines."""
--- a/godwitshunt/tracing/tests/test_losses.py
+++ b/godwitshunt/tracing/tests/test_losses.py
@@ -1,12 +1,12 @@
-"""The table of lost requests, from log lines as entry VMs write them."""
+"""Table of failed and late requests, from the log lines of entry VMs."""
 
 import pytest
 
 from godwitshunt.tracing.lines import LogLine
-from godwitshunt.tracing.losses import IN_TIME, reason_of_loss, tabulate_losses
-from godwitshunt.tracing.timeline import ENDED, REFUSED
+from godwitshunt.tracing.losses import IN_TIME, loss_reason, tabulate_losses
+from godwitshunt.tracing.timeline import ENDED_KIND, REFUSED_KIND
 
-SOUND = {
+IN_TIME_FIELDS = {
     'request': 'r-1',
     'route': 'long',
     'handed_over': False,
@@ -18,12 +18,12 @@
     'choices': ['i-1 of i-1@a=0.150s/0.2/3/0'],
     'attempts': ['i-1:Streamed'],
 }
-FAR = ['b/e-9 of i-9@b=0.250s/0.3/1/0 i-1@a=0.400s/0.5/9/0']
+REMOTE_CHOICES = ['b/e-9 of i-9@b=0.250s/0.3/1/0 i-1@a=0.400s/0.5/9/0']
 
 
-def line(at_s=0.0, kind=ENDED, **changes):
-    """Return a log line of a sound request, with some fields changed."""
-    return LogLine('e-1', kind, at_s, {**SOUND, **changes})
+def make_line(at_s=0.0, kind=ENDED_KIND, **changes):
+    """Return the log line of a request in time, with some fields changed."""
+    return LogLine('e-1', kind, at_s, {**IN_TIME_FIELDS, **changes})
 
 
 @pytest.mark.parametrize(
@@ -40,7 +40,10 @@
             {'first_s': 0.9, 'choices': ['i-1 of i-1@a=0.850s/1/3/0']},
             'late: as predicted',
         ),
-        ({'first_s': 0.9, 'choices': FAR}, 'late: in another region'),
+        (
+            {'first_s': 0.9, 'choices': REMOTE_CHOICES},
+            'late: in another region',
+        ),
         (
             {'first_s': 0.9, 'attempts': ['i-2:Lost', 'i-1:Streamed']},
             'late: an attempt before it failed',
@@ -48,20 +51,20 @@
         ({'longest_gap_s': 0.7}, 'late: a pause within the stream'),
     ],
 )
-def test_each_loss_has_its_reason(changes, reason):
-    """An engineer asks why a tenth of the requests came late."""
-    found = reason_of_loss(line(**changes))
-    assert found == (reason or changes['ending'])
+def test_loss_reason(changes, reason):
+    """Each way in which a request fails or is late has its own reason."""
+    actual = loss_reason(make_line(**changes))
+    assert actual == (reason or changes['ending'])
 
 
-def test_requests_count_once_and_by_their_moment():
-    """A request that was handed over has a line of two VMs."""
+def test_requests_are_counted_once_and_by_window():
+    """A forwarded request has a line of each of two VMs, but counts once."""
     rows = tabulate_losses(
         [
-            line(10.0),
-            line(10.5, handed_over=True, first_s=3.0),
-            line(15.0, first_s=3.0),
-            line(15.1, kind=REFUSED, detail='no route'),
+            make_line(10.0),
+            make_line(10.5, handed_over=True, first_s=3.0),
+            make_line(15.0, first_s=3.0),
+            make_line(15.1, kind=REFUSED_KIND, detail='no route'),
             LogLine('e-1', 'registry:news', 1.0, {}),
         ],
     )
--- a/godwitshunt/tracing/tests/test_story.py
+++ b/godwitshunt/tracing/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""From a request's id to a sentence on its cause."""
+"""Timelines and summaries of single requests."""
 
 import json
 
@@ -6,13 +6,13 @@
 
 from godwitshunt.tracing import LogLine, build_timeline, read_logs
 
-ID = '9c41d07be2a35f68'
+REQUEST_ID = '9c41d07be2a35f68'
 
 
-def ended(source='near', at_s=100.0, **fields):
-    """Return the line of a request that ended."""
-    told = {
-        'request': ID,
+def make_ended_line(source='near', at_s=100.0, **fields):
+    """Return the log line of a request that ended."""
+    line_fields = {
+        'request': REQUEST_ID,
         'handed_over': False,
         'ending': 'answered 200',
         'took_s': 0.4,
@@ -21,16 +21,16 @@
         'reasons': [],
         **fields,
     }
-    return LogLine(source, 'ingress:request_ended', at_s, told)
+    return LogLine(source, 'ingress:request_ended', at_s, line_fields)
 
 
-def context(kind, source='near', at_s=99.0):
-    """Return a line of what a process came to believe."""
+def make_context_line(kind, source='near', at_s=99.0):
+    """Return the log line of a state change without fields."""
     return LogLine(source, kind, at_s, {})
 
 
 @pytest.mark.parametrize(
-    ('fields', 'sentence'),
+    ('fields', 'summary'),
     [
         (
             {
@@ -77,46 +77,49 @@
         ),
     ],
 )
-def test_a_request_is_explained_in_a_sentence(fields, sentence):
-    """Someone on call has an id, and wants to know why it ended so."""
-    assert build_timeline(ID, [ended(**fields)]).summary == sentence
-
-
-def test_the_vm_that_took_the_request_comes_first():
-    """The VM that it was handed over to wrote its line earlier."""
-    near = ended('near', 100.2, choices=['b/far of i-1@b=0.1s'])
-    far = ended('far', 100.1, handed_over=True)
-    timeline = build_timeline(ID, [far, near])
+def test_summary(fields, summary):
+    """The summary lists the attempts and the reason of the outcome."""
+    assert (
+        build_timeline(REQUEST_ID, [make_ended_line(**fields)]).summary
+        == summary
+    )
+
+
+def test_receiving_vm_is_listed_first():
+    """The VM that the request was forwarded to wrote its line earlier."""
+    near = make_ended_line('near', 100.2, choices=['b/far of i-1@b=0.1s'])
+    far = make_ended_line('far', 100.1, handed_over=True)
+    timeline = build_timeline(REQUEST_ID, [far, near])
     assert [line.source for line in timeline.lines] == ['near', 'far']
 
 
-def test_what_the_same_processes_believed_then_is_shown():
-    """A partition is told by lines that name no request."""
+def test_context_has_recent_changes_of_the_same_processes():
+    """Lines about a network partition have no request id."""
     lines = [
-        ended(at_s=100.0),
-        context('registry:control_lost', at_s=98.0),
-        context('registry:control_lost', at_s=60.0),
-        context('registry:control_lost', source='other'),
-        context('ingress:started'),
+        make_ended_line(at_s=100.0),
+        make_context_line('registry:control_lost', at_s=98.0),
+        make_context_line('registry:control_lost', at_s=60.0),
+        make_context_line('registry:control_lost', source='other'),
+        make_context_line('ingress:started'),
     ]
-    timeline = build_timeline(ID, lines)
+    timeline = build_timeline(REQUEST_ID, lines)
     assert [line.at_s for line in timeline.context] == [98.0]
 
 
-def test_an_unknown_request_has_no_story():
-    """The id was mistyped, or its line was sampled out."""
-    assert build_timeline('other', [ended()]) is None
+def test_unknown_request_has_no_timeline():
+    """The id is wrong, or the line of the request was dropped by sampling."""
+    assert build_timeline('other', [make_ended_line()]) is None
 
 
-def test_logs_are_read_whatever_stands_before_their_lines(tmp_path):
-    """Collectors put times and names there; crashes leave torn lines."""
-    line = ended().fields | {
+def test_prefixes_and_malformed_lines_are_skipped(tmp_path):
+    """Log collectors add times and names; crashes leave truncated lines."""
+    fields = make_ended_line().fields | {
         'message_type': 'ingress:request_ended',
         'timestamp': 7.0,
     }
     mixed = tmp_path / 'all.log'
-    mixed.write_text(f'1.5 near {json.dumps(line)}\n{{"torn": \nTraceback\n')
-    own = tmp_path / 'far.log'
-    own.write_text(json.dumps({**line, 'handed_over': True}))
-    timeline = build_timeline(ID, read_logs([mixed, own]))
-    assert [one.source for one in timeline.lines] == ['near', 'far']
+    mixed.write_text(f'1.5 near {json.dumps(fields)}\n{{"torn": \nTraceback\n')
+    single = tmp_path / 'far.log'
+    single.write_text(json.dumps({**fields, 'handed_over': True}))
+    timeline = build_timeline(REQUEST_ID, read_logs([mixed, single]))
+    assert [line.source for line in timeline.lines] == ['near', 'far']
--- a/godwitshunt/tracing/timeline.py
+++ b/godwitshunt/tracing/timeline.py
@@ -1,4 +1,4 @@
-"""What became of one request, and why; pure."""
+"""Timeline and outcome of one request, from log lines; no I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,15 +6,16 @@
 
 from godwitshunt.tracing.lines import LogLine
 
-ENDED = 'ingress:request_ended'
-REFUSED = 'ingress:request_refused'
-# What a process came to believe this long before a request's end, or after
-# it, may be its cause.
-AROUND_S = 5.0
-# A choice that sent the request nowhere begins so.
-NO_PLACES = frozenset(('overloaded', 'no upstream'))
-# Lines that tell of lost and regained dependencies, and of who left.
-CONTEXT = frozenset(
+ENDED_KIND = 'ingress:request_ended'
+REFUSED_KIND = 'ingress:request_refused'
+# State changes of a process within this time before the start or after the end
+# of a request may explain its outcome.
+CONTEXT_WINDOW_S = 5.0
+# Choices that sent the request to no destination begin with these words.
+NO_DESTINATION = frozenset(('overloaded', 'no upstream'))
+# State changes that may explain a failed request: lost and restored
+# dependencies, departed upstreams, draining VMs.
+CONTEXT_KINDS = frozenset(
     (
         'ingress:draining',
         'ingress:drain_cut',
@@ -32,17 +33,17 @@
 
 @dataclass(frozen=True)
 class RequestTimeline:
-    """One request's lines, in causal order.
+    """Log lines of one request, and a summary of its outcome.
 
     Parameters
     ----------
     lines : tuple of LogLine
-        The VM that took the request first, then the one that it was handed
-        over to.
+        Line of the VM that received the request from the caller, then those
+        of the VM that it was forwarded to.
     context : tuple of LogLine
-        What the same processes came to believe around that time.
-    sentence : str
-        Why the request ended as it did.
+        State changes of the same processes around that time.
+    summary : str
+        The attempts of the request and why it ended, as text.
     """
 
     lines: tuple[LogLine, ...]
@@ -53,95 +54,109 @@
 def build_timeline(
     request: str, logs: Iterable[LogLine]
 ) -> RequestTimeline | None:
-    """Return the story of a request; None where no line names it."""
-    listed = list(logs)
+    """Return the timeline of a request; None if no line has its id."""
+    all_lines = list(logs)
     lines = sorted(
-        (one for one in listed if is_of(one, request)),
-        key=lambda one: (bool(one.fields.get('handed_over')), one.at_s),
+        (line for line in all_lines if ends_request(line, request)),
+        key=lambda line: (bool(line.fields.get('handed_over')), line.at_s),
     )
     if not lines:
         return None
     spans = {
-        one.source: (
-            one.at_s - one.fields.get('took_s', 0) - AROUND_S,
-            one.at_s + AROUND_S,
+        line.source: (
+            line.at_s - line.fields.get('took_s', 0) - CONTEXT_WINDOW_S,
+            line.at_s + CONTEXT_WINDOW_S,
         )
-        for one in lines
+        for line in lines
     }
     context = sorted(
-        (one for one in listed if one.kind in CONTEXT and is_near(one, spans)),
-        key=lambda one: one.at_s,
+        (
+            line
+            for line in all_lines
+            if line.kind in CONTEXT_KINDS and is_within_spans(line, spans)
+        ),
+        key=lambda line: line.at_s,
     )
     return RequestTimeline(
         tuple(lines),
         tuple(context),
-        ' '.join(explain(one) for one in lines),
+        ' '.join(summarize_line(line) for line in lines),
     )
 
 
-def is_of(line: LogLine, request: str) -> bool:
-    """Tell whether a line is about the request's end."""
-    if line.kind not in {ENDED, REFUSED}:
+def ends_request(line: LogLine, request: str) -> bool:
+    """Return whether a line logs the end or the refusal of a request."""
+    if line.kind not in {ENDED_KIND, REFUSED_KIND}:
         return False
     return line.fields.get('request') == request
 
 
-def is_near(
+def is_within_spans(
     line: LogLine,
     spans: dict[str, tuple[float, float]],
 ) -> bool:
-    """Tell whether a line was written near the request, by its processes."""
+    """Return whether a line lies within the time span of its process."""
     if line.source not in spans:
         return False
     start_s, end_s = spans[line.source]
     return start_s <= line.at_s <= end_s
 
 
-def explain(line: LogLine) -> str:
-    """Return one VM's part in a sentence."""
-    told = line.fields
-    if line.kind == REFUSED:
-        return f'{line.source} did not admit it: {told.get("detail")}.'
-    took = f'after {told["took_s"]} s'
-    ways = [
-        f'{place} ({became})'
-        for place, became in zip_longest(
-            places_of(told),
-            (one.rpartition(':')[2] for one in told['attempts']),
+def summarize_line(line: LogLine) -> str:
+    """Summarize the part of one VM in a sentence."""
+    fields = line.fields
+    if line.kind == REFUSED_KIND:
+        return f'{line.source} did not admit it: {fields.get("detail")}.'
+    elapsed = f'after {fields["took_s"]} s'
+    attempts = [
+        f'{destination} ({attempt_outcome})'
+        for destination, attempt_outcome in zip_longest(
+            list_destinations(fields),
+            (attempt.rpartition(':')[2] for attempt in fields['attempts']),
             fillvalue='under way',
         )
     ]
-    tried = f'tried {", then ".join(ways)}' if ways else 'tried nothing'
-    return f'{line.source} {tried}; {reason_of(told)} {took}.'
+    tried = f'tried {", then ".join(attempts)}' if attempts else 'tried nothing'
+    return f'{line.source} {tried}; {describe_ending(fields)} {elapsed}.'
 
 
-def places_of(told: dict) -> list[str]:
-    """Return where a request was sent, in order."""
-    places = [choice.partition(' of ')[0] for choice in told['choices']]
-    return [place for place in places if place not in NO_PLACES]
+def list_destinations(fields: dict) -> list[str]:
+    """Return the destinations that a request was sent to, in order."""
+    destinations = [choice.partition(' of ')[0] for choice in fields['choices']]
+    return [
+        destination
+        for destination in destinations
+        if destination not in NO_DESTINATION
+    ]
 
 
-def reason_of(told: dict) -> str:
-    """Return why a request ended as it did."""
-    ending = told['ending']
-    why = '; '.join(told['reasons'])
-    last = told['choices'][-1] if told['choices'] else ''
+def describe_ending(fields: dict) -> str:
+    """Describe how and why a request ended."""
+    ending = fields['ending']
+    reasons = '; '.join(fields['reasons'])
+    last_choice = fields['choices'][-1] if fields['choices'] else ''
     if ending.startswith('refused overloaded'):
-        best = last.partition(' of ')[2].partition(' ')[0]
-        return f'refused, not run: no room in time, at best {best}'
+        best_candidate = last_choice.partition(' of ')[2].partition(' ')[0]
+        return f'refused, not run: no room in time, at best {best_candidate}'
     if ending.startswith('refused no-upstream'):
-        seen = last.partition(' of ')[2] or 'none'
-        return f'refused, not run: no upstream left of {seen} ({why or "-"})'
+        candidates = last_choice.partition(' of ')[2] or 'none'
+        return (
+            f'refused, not run: no upstream left of {candidates} '
+            f'({reasons or "-"})'
+        )
     if ending.startswith('refused deadline'):
-        return f'time ran out with an attempt under way to {under_way(told)}'
+        return (
+            'time ran out with an attempt under way to '
+            f'{pending_destination(fields)}'
+        )
     if ending == 'broken off':
-        return f'broken off within the answer ({why or "time ran out"})'
+        return f'broken off within the answer ({reasons or "time ran out"})'
     if ending == 'caller gone':
         return 'the caller left'
-    return f'{ending} ({why})' if why else ending
+    return f'{ending} ({reasons})' if reasons else ending
 
 
-def under_way(told: dict) -> str:
-    """Return the place of the attempt that had no end yet."""
-    open_ones = places_of(told)[len(told['attempts']) :]
-    return open_ones[0] if open_ones else 'an upstream'
+def pending_destination(fields: dict) -> str:
+    """Return the destination of the attempt that has not ended."""
+    unfinished = list_destinations(fields)[len(fields['attempts']) :]
+    return unfinished[0] if unfinished else 'an upstream'
