--- a/godwitshunt/routing/limits.py
+++ b/godwitshunt/routing/limits.py
@@ -1,11 +1,12 @@
-"""Limits for each caller that hold over all VMs without a central step.
+"""Distributed rate limits for each caller, without central coordination.
 
-Each VM owns a fixed quota of each caller's rate. A VM that does not need its
-quota lends a part to a peer that asked for more. A loan is a lease: the
-borrower counts it from the moment it asked, the lender from the moment it
-lent, which is later. So a lender takes its quota back only when the borrower
-has stopped using it, whatever messages were lost or delayed, and no clocks
-are compared: the quotas in use never add up to more than the rate.
+Each VM owns a fixed quota of each caller's rate. A VM that does not need all
+of its quota leases a part of it to a peer that requested more. The lessee
+counts the lease from the time of its request, the grantor from the time of
+the grant, which is later. So the grantor uses that part again only after the
+lessee has stopped using it, even if messages are lost or delayed, and clocks
+of different VMs are never compared. The quotas in use never add up to more
+than the rate.
 
 References
 ----------
@@ -17,16 +18,18 @@
 from dataclasses import dataclass, field
 from typing import Self
 
-from godwitshunt.routing.meters import Bucket, DemandMeter
+from godwitshunt.routing.meters import DemandMeter, TokenBucket
 
-LOAN_S = 3.0
-# The lender's clock may run a little slower than the borrower's.
-CLOCK_MARGIN = 1.05
-# Kept by the lender, so that its own callers are served while it waits for
-# the end of its loans.
-KEPT_SHARE = 0.1
-HEADROOM = 2.0
-SMALLEST_LOAN_PER_S = 0.01
+LEASE_S = 3.0
+# Tolerated difference between the speeds of the two VMs' clocks: the grantor
+# waits this much longer than the lessee.
+CLOCK_DRIFT_FACTOR = 1.05
+# Share of a quota that is never leased, so that a VM can serve its own callers
+# while it waits for its leases to end.
+RESERVED_SHARE = 0.1
+# Quota wanted, as a multiple of the measured demand.
+HEADROOM_RATIO = 2.0
+MIN_LEASE_PER_S = 0.01
 
 
 @dataclass(frozen=True)
@@ -36,9 +39,9 @@
     Parameters
     ----------
     rate_per_s : float
-        Requests a second.
+        Requests per second.
     burst : float
-        Requests at once; at least 1, else the VM could never admit one.
+        Bucket capacity in requests; below 1 the VM could never admit one.
     """
 
     rate_per_s: float
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Limited:
-    """The caller is over its limit; it may come back after some seconds."""
+    """The caller is over its limit and may retry after some seconds."""
 
     retry_after_s: float
 
@@ -62,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Stamp:
-    """A moment on one process's clock."""
+    """A point in time on one process's clock."""
 
     incarnation: int
     time_s: float
@@ -70,63 +73,72 @@
 
 @dataclass(frozen=True)
 class LimitUpdate:
-    """What one VM tells one peer.
+    """Message of one VM to one peer.
 
     Parameters
     ----------
     stamp : Stamp
-        When it was sent, by the sender's clock.
+        Time of sending on the sender's clock.
     echo : Stamp or None
-        The newest stamp that the sender has of the receiver.
-    unmet, lent : mapping of str to float
-        Requests a second by caller: wanted beyond the sender's quota, and
-        lent to the receiver.
+        The newest stamp that the sender has received from the receiver.
+    unmet, granted : mapping of str to float
+        Requests per second by caller: demand beyond the sender's quota, and
+        rates leased to the receiver.
     """
 
     stamp: Stamp
     echo: Stamp | None = None
     unmet: Mapping[str, float] = field(default_factory=dict)
-    lent: Mapping[str, float] = field(default_factory=dict)
+    granted: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass
-class Loan:
-    """Rates lent to one peer for one caller, each until its own end.
+class QuotaLease:
+    """Rates leased to one peer for one caller.
 
-    A smaller loan does not shorten an earlier one, since the message that
-    tells of it may be lost.
+    A smaller grant does not replace an earlier one, since the message that
+    carries it may be lost.
+
+    Parameters
+    ----------
+    grants : list of tuple of float
+        End on the own clock and rate of each grant.
     """
 
-    ends: list[tuple[float, float]] = field(default_factory=list)
+    grants: list[tuple[float, float]] = field(default_factory=list)
 
-    def held(self, now: float) -> float:
-        """Return the rate that the borrower may still be using."""
-        self.ends = [end for end in self.ends if end[0] > now]
-        return max((rate for _, rate in self.ends), default=0.0)
+    def active_rate(self, now: float) -> float:
+        """Return the rate that the lessee may still be using."""
+        self.grants = [grant for grant in self.grants if grant[0] > now]
+        return max((rate for _, rate in self.grants), default=0.0)
 
 
 @dataclass
 class Peer:
-    """What is known of one peer.
+    """State of one peer.
 
     Parameters
     ----------
-    heard_s : float
-        When its newest message came, on the own clock.
-    borrowed_from_s : float
-        The own clock when the request for its loans was sent.
+    last_seen_s : float
+        When its newest message was received, on the own clock.
+    unmet : mapping of str to float
+        Its unmet demand in requests per second, by caller.
+    leased : mapping of str to float
+        Rates that it has leased to this VM, by caller.
+    leased_from_s : float
+        When the request for these leases was sent, on the own clock.
     """
 
     stamp: Stamp
-    heard_s: float
+    last_seen_s: float
     unmet: Mapping[str, float] = field(default_factory=dict)
-    borrowed: Mapping[str, float] = field(default_factory=dict)
-    borrowed_from_s: float = float('-inf')
+    leased: Mapping[str, float] = field(default_factory=dict)
+    leased_from_s: float = float('-inf')
 
 
 @dataclass
 class CallerLimits:
-    """Token buckets of one VM, and its loans from and to peers.
+    """Token buckets of one VM, and its leases from and to peers.
 
     Parameters
     ----------
@@ -135,23 +147,24 @@
     incarnation : int
         Random number of this process.
     grantors : mapping of str to frozenset of str, or None
-        Peers to ask for a caller's loans; None asks whoever is told.
+        Peers to request leases from, by caller; with None, unmet demand is
+        sent to every peer that a message is composed for.
 
     Notes
     -----
-    Let R be a caller's rate, B its burst and N the VMs. All VMs together
-    admit at most ``R t + B + N`` requests in any ``t`` seconds. A VM that
-    restarts forgets its loans and exceeds that once by at most its own quota
-    times `LOAN_S`; while a change of N is under way, VMs that do not know it
-    yet go on with their larger quota of before.
+    Let R be a caller's rate, B its burst and N the number of VMs. All VMs
+    together admit at most ``R t + B + N`` requests in any ``t`` seconds. A VM
+    that restarts loses its leases and may exceed that once by at most its own
+    quota times `LEASE_S`. While N increases, VMs that do not know it yet still
+    use their previous, larger quota.
     """
 
     quotas: Mapping[str, CallerQuota]
     incarnation: int = 0
     grantors: Mapping[str, frozenset[str]] | None = None
-    buckets: dict[str, Bucket] = field(default_factory=dict)
+    buckets: dict[str, TokenBucket] = field(default_factory=dict)
     meters: dict[str, DemandMeter] = field(default_factory=dict)
-    loans: dict[tuple[str, str], Loan] = field(default_factory=dict)
+    leases: dict[tuple[str, str], QuotaLease] = field(default_factory=dict)
     peers: dict[str, Peer] = field(default_factory=dict)
 
     @classmethod
@@ -160,7 +173,7 @@
         quotas: Mapping[str, CallerQuota],
         incarnation: int,
     ) -> Self:
-        """Make the limits of a VM."""
+        """Return the limits of a VM."""
         return cls(quotas, incarnation)
 
     def configure(
@@ -168,7 +181,7 @@
         quotas: Mapping[str, CallerQuota],
         grantors: Mapping[str, frozenset[str]] | None = None,
     ) -> None:
-        """Take the quotas of a newer manifest or set of VMs."""
+        """Apply the quotas of a newer manifest or set of VMs."""
         self.quotas = quotas
         self.grantors = grantors
         for table in (self.buckets, self.meters):
@@ -177,167 +190,171 @@
                     table.pop(caller)
 
     def admit(self, caller: str, now: float) -> Admission:
-        """Take one request of a caller.
+        """Admit or limit one request of a caller.
 
         Callers without a quota are limited: the manifest names every caller.
         """
         quota = self.quotas.get(caller)
         if quota is None:
-            return Limited(LOAN_S)
+            return Limited(LEASE_S)
         meter = self.meters.setdefault(caller, DemandMeter())
-        # Limited requests count as well: demand is what callers want.
+        # Limited requests are counted too, since they are part of the demand.
         meter.record(now)
         rate = self.rate(caller, now)
         bucket = self.buckets.get(caller)
         if bucket is None:
-            bucket = Bucket(quota.burst, now, rate)
+            bucket = TokenBucket(quota.burst, now, rate)
             self.buckets[caller] = bucket
-        wait_s = bucket.take(rate, quota.burst, now)
+        wait_s = bucket.acquire(rate, quota.burst, now)
         return Limited(wait_s) if wait_s else Admitted()
 
     def rate(self, caller: str, now: float) -> float:
-        """Return the requests a second that this VM may admit now."""
-        borrowed = sum(
-            peer.borrowed.get(caller, 0.0)
+        """Return the requests per second that this VM may admit now."""
+        leased = sum(
+            peer.leased.get(caller, 0.0)
             for peer in self.peers.values()
-            if now < peer.borrowed_from_s + LOAN_S
+            if now < peer.leased_from_s + LEASE_S
         )
-        return self.owned(caller, now) + borrowed
+        return self.own_rate(caller, now) + leased
 
-    def owned(self, caller: str, now: float) -> float:
-        """Return the own quota less what peers may still be using."""
+    def own_rate(self, caller: str, now: float) -> float:
+        """Return the own quota minus what peers may still be using."""
         quota = self.quotas[caller].rate_per_s
-        lent = sum(
-            loan.held(now)
-            for (borrowed_by, _), loan in self.loans.items()
-            if borrowed_by == caller
+        granted = sum(
+            lease.active_rate(now)
+            for (leased_caller, _), lease in self.leases.items()
+            if leased_caller == caller
         )
-        return max(0.0, quota - lent)
+        return max(0.0, quota - granted)
 
-    def receive(self, peer: str, news: LimitUpdate, now: float) -> None:
-        """Take a peer's message; one that is older than the last is ignored."""
+    def receive(self, peer: str, update: LimitUpdate, now: float) -> None:
+        """Apply a peer's message, unless it is older than the last one."""
         known = self.peers.get(peer)
-        if known is not None and is_older(news.stamp, known.stamp):
+        if known is not None and is_older(update.stamp, known.stamp):
             return
-        current = Peer(news.stamp, now, news.unmet)
+        current = Peer(update.stamp, now, update.unmet)
         if known is not None:
-            current.borrowed = known.borrowed
-            current.borrowed_from_s = known.borrowed_from_s
-        echo = news.echo
-        # An echo of another process of this VM says nothing of its clock.
+            current.leased = known.leased
+            current.leased_from_s = known.leased_from_s
+        echo = update.echo
+        # An echo of another incarnation of this VM refers to another clock.
         if echo is not None and echo.incarnation == self.incarnation:
-            self.settle(set(current.borrowed).union(news.lent), now)
-            current.borrowed = news.lent
-            current.borrowed_from_s = min(echo.time_s, now)
+            self.refill(set(current.leased).union(update.granted), now)
+            current.leased = update.granted
+            current.leased_from_s = min(echo.time_s, now)
         self.peers[peer] = current
 
-    def settle(self, callers: Iterable[str], now: float) -> None:
-        """Count buckets up to now, before their rates change."""
+    def refill(self, callers: Iterable[str], now: float) -> None:
+        """Refill buckets up to now, before their rates change."""
         for caller in callers:
             bucket = self.buckets.get(caller)
             if bucket is not None:
                 burst = self.quotas[caller].burst
-                bucket.settle(self.rate(caller, now), burst, now)
+                bucket.refill(self.rate(caller, now), burst, now)
 
     def compose_update(self, peer: str, now: float) -> LimitUpdate:
-        """Return the message for a peer, lending it what it may use."""
+        """Return the message for a peer and record the leases it grants."""
         known = self.peers.get(peer)
         return LimitUpdate(
             stamp=Stamp(self.incarnation, now),
             echo=None if known is None else known.stamp,
             unmet=self.unmet_for(peer, now),
-            lent=self.lend(peer, now),
+            granted=self.grant(peer, now),
         )
 
     def peers_to_notify(self, now: float) -> frozenset[str]:
-        """Return peers to ask for loans, and those that asked lately."""
-        asked = [
+        """Return peers to request leases from, and recent requesters."""
+        peers = [
             name
             for name, peer in self.peers.items()
-            if peer.unmet and now - peer.heard_s <= LOAN_S
+            if peer.unmet and now - peer.last_seen_s <= LEASE_S
         ]
         grantors = self.grantors or {}
         for caller in self.unmet(now):
-            asked.extend(grantors.get(caller, ()))
-        return frozenset(asked)
+            peers.extend(grantors.get(caller, ()))
+        return frozenset(peers)
 
     def unmet_for(self, peer: str, now: float) -> dict[str, float]:
-        """Return the unmet demand that a peer is asked for."""
-        wanted = self.unmet(now)
+        """Return the unmet demand to report to a peer."""
+        unmet_rates = self.unmet(now)
         if self.grantors is None:
-            return wanted
+            return unmet_rates
         return {
-            caller: missing
-            for caller, missing in wanted.items()
+            caller: unmet_rate
+            for caller, unmet_rate in unmet_rates.items()
             if peer in self.grantors.get(caller, ())
         }
 
     def unmet(self, now: float) -> dict[str, float]:
-        """Return the demand beyond the own quota, by caller."""
-        wanted = {}
+        """Return the demand beyond the own quota, by caller, per second."""
+        unmet_rates = {}
         for caller, meter in self.meters.items():
-            missing = meter.per_s(now) * HEADROOM - self.owned(caller, now)
-            if missing > SMALLEST_LOAN_PER_S:
-                wanted[caller] = missing
-        return wanted
-
-    def lend(self, peer: str, now: float) -> dict[str, float]:
-        """Lend a peer its part of what is spare, and note the loans."""
+            unmet_rate = meter.per_s(now) * HEADROOM_RATIO - self.own_rate(
+                caller, now
+            )
+            if unmet_rate > MIN_LEASE_PER_S:
+                unmet_rates[caller] = unmet_rate
+        return unmet_rates
+
+    def grant(self, peer: str, now: float) -> dict[str, float]:
+        """Lease a peer its part of the spare quota, and record the leases."""
         known = self.peers.get(peer)
-        if known is None or now - known.heard_s > LOAN_S:
+        if known is None or now - known.last_seen_s > LEASE_S:
             return {}
-        lent = {}
-        for caller, missing in known.unmet.items():
+        granted = {}
+        for caller, unmet_rate in known.unmet.items():
             if caller in self.quotas:
-                rate = self.loan_rate(caller, peer, missing, now)
-                if rate > SMALLEST_LOAN_PER_S:
-                    lent[caller] = rate
-        for caller, rate in lent.items():
-            end_s = now + LOAN_S * CLOCK_MARGIN
-            self.loans[caller, peer].ends.append((end_s, rate))
-        return lent
-
-    def loan_rate(
+                rate = self.lease_rate(caller, peer, unmet_rate, now)
+                if rate > MIN_LEASE_PER_S:
+                    granted[caller] = rate
+        for caller, rate in granted.items():
+            end_s = now + LEASE_S * CLOCK_DRIFT_FACTOR
+            self.leases[caller, peer].grants.append((end_s, rate))
+        return granted
+
+    def lease_rate(
         self,
         caller: str,
         peer: str,
-        missing: float,
+        unmet_rate: float,
         now: float,
     ) -> float:
-        """Return the rate to lend, within what no other loan holds."""
-        loan = self.loans.setdefault((caller, peer), Loan())
-        held = loan.held(now)
-        asked = sum(
+        """Return the rate to lease, limited by what other leases leave."""
+        lease = self.leases.setdefault((caller, peer), QuotaLease())
+        active_rate = lease.active_rate(now)
+        requested = sum(
             other.unmet.get(caller, 0.0)
             for other in self.peers.values()
-            if now - other.heard_s <= LOAN_S
+            if now - other.last_seen_s <= LEASE_S
+        )
+        target = min(
+            unmet_rate, self.spare_rate(caller, now) * unmet_rate / requested
         )
-        target = min(missing, self.spare(caller, now) * missing / asked)
-        free = max(0.0, self.owned(caller, now) - self.kept(caller))
-        return min(target, held + free)
+        free = max(0.0, self.own_rate(caller, now) - self.reserved_rate(caller))
+        return min(target, active_rate + free)
 
-    def spare(self, caller: str, now: float) -> float:
-        """Return the part of the own quota that own demand leaves."""
+    def spare_rate(self, caller: str, now: float) -> float:
+        """Return the part of the own quota that own demand does not need."""
         quota = self.quotas[caller].rate_per_s
         meter = self.meters.get(caller)
-        wanted = 0.0 if meter is None else meter.per_s(now) * HEADROOM
-        return quota - min(quota, max(wanted, self.kept(caller)))
+        demand = 0.0 if meter is None else meter.per_s(now) * HEADROOM_RATIO
+        return quota - min(quota, max(demand, self.reserved_rate(caller)))
 
-    def kept(self, caller: str) -> float:
-        """Return the rate that is never lent."""
-        return self.quotas[caller].rate_per_s * KEPT_SHARE
+    def reserved_rate(self, caller: str) -> float:
+        """Return the rate that is never leased."""
+        return self.quotas[caller].rate_per_s * RESERVED_SHARE
 
     def expire(self, now: float) -> None:
-        """Drop peers, loans and meters that no longer matter."""
-        self.settle(self.meters, now)
+        """Remove peers, leases and meters that have expired."""
+        self.refill(self.meters, now)
         for name, peer in tuple(self.peers.items()):
-            if now - peer.heard_s > 2 * LOAN_S:
+            if now - peer.last_seen_s > 2 * LEASE_S:
                 self.peers.pop(name)
-        for key, loan in tuple(self.loans.items()):
-            if not loan.held(now):
-                self.loans.pop(key)
+        for key, lease in tuple(self.leases.items()):
+            if not lease.active_rate(now):
+                self.leases.pop(key)
         for caller, meter in tuple(self.meters.items()):
-            if meter.idle(now):
+            if meter.is_idle(now):
                 self.meters.pop(caller)
 
 
--- a/godwitshunt/routing/ramp.py
+++ b/godwitshunt/routing/ramp.py
@@ -1,95 +1,108 @@
-"""Traffic that returns to upstreams with cold caches grows as they warm.
-
-After a region or an upstream was lost and comes back, it looks idle: all its
-traffic would return in one moment, none of whose prefixes is cached. Prefill
-then falls so far behind that requests run out of time, and what it computes
-for them is thrown away. So what is sent to a cold upstream is bounded by the
-uncached prompt tokens that its prefill can take. The more of the prompts it
-has cached, the more requests fit into that rate, so the ramp follows the
-warming of the cache and needs no timetable.
+"""Gradual return of traffic to upstreams with cold caches.
+
+A region or an upstream that recovers from an outage looks idle: all of its
+traffic would return at once, with no prefix cached. Prefill then falls so far
+behind that requests time out and its work is discarded. So the rate of
+uncached prompt tokens sent to a cold upstream is limited to what its prefill
+can process. The more of the prompts is cached, the more requests fit into that
+rate, so the ramp follows the warm-up of the cache and needs no fixed schedule.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from godwitshunt.membership.views import UpstreamView
-from godwitshunt.routing.meters import Bucket
+from godwitshunt.routing.meters import TokenBucket
 
-# Part of the prefill rate that returning traffic may use, and the seconds of
-# it that may come at once.
+# Share of the prefill rate that returning traffic may use, and the seconds of
+# that rate that may be sent as a burst.
 PREFILL_SHARE = 0.8
 BURST_S = 1.0
-COLD_S = 30.0
+WARM_UP_S = 30.0
 
 
 @dataclass
-class Warming:
-    """An upstream that started lately.
+class WarmingUpstream:
+    """An upstream that started recently.
 
     Parameters
     ----------
-    bucket : Bucket
+    incarnation : int
+        The process that is warming up.
+    bucket : TokenBucket
         Uncached prompt tokens that this VM may send now.
     until_s : float
-        When it is held for warm, whatever was sent.
+        When it is considered warm, regardless of what was sent.
+    burst : float
+        Capacity of the bucket in tokens.
     """
 
     incarnation: int
-    bucket: Bucket
+    bucket: TokenBucket
     until_s: float
     burst: float
 
 
 @dataclass
 class ColdRamp:
-    """Bounds on what one VM sends to upstreams that started lately.
+    """Limits on what one VM sends to upstreams that started recently.
 
     Parameters
     ----------
     vms : int
         Entry VMs of the region, which share each upstream's prefill rate.
+    incarnations : dict of str to int
+        Last observed incarnation of each upstream.
+    warming : dict of str to WarmingUpstream
+        Upstreams that are warming up.
+    has_observed : bool
+        Whether `observe` has been called.
     """
 
     vms: int = 1
-    known: dict[str, int] = field(default_factory=dict)
-    warming: dict[str, Warming] = field(default_factory=dict)
-    started: bool = False
+    incarnations: dict[str, int] = field(default_factory=dict)
+    warming: dict[str, WarmingUpstream] = field(default_factory=dict)
+    has_observed: bool = False
 
     def observe(self, upstreams: Iterable[UpstreamView], now: float) -> None:
-        """Note which upstreams are new, back, or gone.
+        """Record which upstreams have started, restarted or been removed.
 
-        What the VM sees first, at its own start, it holds for warm: others
-        may have used it for long.
+        Upstreams present at the first call are considered warm: other VMs may
+        have used them for a long time.
         """
         present = {each.name: each for each in upstreams if each.models}
         for name, upstream in present.items():
-            same = self.known.get(name) == upstream.incarnation
-            if self.started and not same:
-                self.warming[name] = self.warm(upstream, now)
+            same = self.incarnations.get(name) == upstream.incarnation
+            if self.has_observed and not same:
+                self.warming[name] = self.start_warming(upstream, now)
         self.warming = {
-            known: warming
-            for known, warming in self.warming.items()
-            if known in present and now < warming.until_s
+            known_name: warming
+            for known_name, warming in self.warming.items()
+            if known_name in present and now < warming.until_s
         }
-        self.known = {
+        self.incarnations = {
             each: newest.incarnation for each, newest in present.items()
         }
-        self.started = True
+        self.has_observed = True
 
-    def warm(self, upstream: UpstreamView, now: float) -> Warming:
-        """Return the start of an upstream's ramp."""
+    def start_warming(
+        self, upstream: UpstreamView, now: float
+    ) -> WarmingUpstream:
+        """Return the initial state of an upstream that warms up."""
         share = PREFILL_SHARE / max(1, self.vms)
         rate = upstream.prefill_tokens_per_s * share
         burst = rate * BURST_S
-        bucket = Bucket(burst, now, rate)
-        return Warming(upstream.incarnation, bucket, now + COLD_S, burst)
+        bucket = TokenBucket(burst, now, rate)
+        return WarmingUpstream(
+            upstream.incarnation, bucket, now + WARM_UP_S, burst
+        )
 
-    def held(self, now: float) -> frozenset[str]:
-        """Return upstreams that get nothing now, for `excluded`."""
+    def throttled(self, now: float) -> frozenset[str]:
+        """Return upstreams to exclude now, for `RouteRequest.excluded`."""
         names = []
         for name, warming in self.warming.items():
             bucket = warming.bucket
-            bucket.settle(bucket.rate_per_s, warming.burst, now)
+            bucket.refill(bucket.rate_per_s, warming.burst, now)
             if bucket.tokens <= 0:
                 names.append(name)
         return frozenset(names)
@@ -97,8 +110,8 @@
     def record_sent(self, upstream: str, uncached_tokens: float) -> None:
         """Count the uncached prompt tokens of a request.
 
-        The bucket may go below zero by one prompt, else a prompt longer than
-        a second of prefill could never be sent.
+        The bucket may become negative by one prompt; otherwise a prompt longer
+        than `BURST_S` of prefill could never be sent.
         """
         warming = self.warming.get(upstream)
         if warming is not None:
