--- a/godwitshunt/peer/links.py
+++ b/godwitshunt/peer/links.py
@@ -18,7 +18,7 @@
 from godwitshunt.telemetry import Metrics, log_change
 
 # A peer pings its open links, so an incoming connection without data for this
-# long has failed without a reset and would otherwise stay open for ever.
+# long has failed without a reset and would otherwise stay open indefinitely.
 INBOUND_IDLE_TIMEOUT_S = 10.0
 
 PeerHandler = Callable[[str, bytes], Awaitable[bytes | None]]
--- a/godwitshunt/peer/tests/test_links.py
+++ b/godwitshunt/peer/tests/test_links.py
@@ -238,7 +238,7 @@
     """An entry VM queries five control VMs once, and then only one of them.
 
     If the idle links stayed open, each of hundreds of VMs would ping the
-    other four across regions for ever.
+    other four across regions indefinitely.
     """
     monkeypatch.setattr('godwitshunt.peer.link.IDLE_AFTER_S', 0.2)
     monkeypatch.setattr('godwitshunt.peer.link.PING_AFTER_S', 0.05)
--- a/godwitshunt/telemetry/output.py
+++ b/godwitshunt/telemetry/output.py
@@ -20,8 +20,8 @@
     """Queues log lines and writes them in batches from a thread.
 
     Standard output may be a pipe whose reader has stopped; a write then blocks
-    for ever, and on the event loop it would block every request. The queue of
-    the thread is bounded; lines that exceed it are dropped and counted.
+    indefinitely, and on the event loop it would block every request. The queue
+    of the thread is bounded; lines that exceed it are dropped and counted.
 
     Parameters
     ----------
--- a/godwitshunt/tracing/timeline.py
+++ b/godwitshunt/tracing/timeline.py
@@ -38,8 +38,8 @@
     Parameters
     ----------
     lines : tuple of LogLine
-        Line of the VM that received the request from the caller, then those
-        of the VM that it was forwarded to.
+        Line of the VM that received the request from the caller, then the
+        line of the VM that it was forwarded to, if any.
     context : tuple of LogLine
         State changes of the same processes around that time.
     summary : str
@@ -95,7 +95,7 @@
     line: LogLine,
     spans: dict[str, tuple[float, float]],
 ) -> bool:
-    """Return whether a line lies within the time span of its process."""
+    """Return whether a line lies within the time span of its source."""
     if line.source not in spans:
         return False
     start_s, end_s = spans[line.source]
