--- a/godwitshunt/ingress/outcomes.py
+++ b/godwitshunt/ingress/outcomes.py
@@ -1,29 +1,29 @@
-"""What one attempt came to, and what a request does next; pure."""
+"""Outcomes of attempts and the next steps of requests, without I/O."""
 
 from dataclasses import dataclass, field
 
 from godwitshunt.exchange.problems import Outcome, ProblemKind, WholeAnswer
 
-# Upstreams and VMs that one request is offered to, at most: each refusal
-# takes a moment, and after several the news of the rest are no better.
+# Attempts of any kind per request. Each refusal takes time, and after several
+# of them the remaining candidates are unlikely to do better.
 MAX_SENDS = 4
-# With less time than this left, another attempt would not be answered.
-LEAST_TIME_S = 0.05
+# Another attempt would not be answered in less time than this.
+MIN_REMAINING_S = 0.05
 NO_ATTEMPT = 'no attempt was made'
 
 
 @dataclass(frozen=True)
 class NotRun:
-    """The request did not run, and never will, by this attempt.
+    """The request did not run, and this attempt will never run it.
 
     Parameters
     ----------
     reason : str
-        For logs and counters.
+        For logs and metrics.
     arrived : bool
-        True where an upstream got it and turned it away.
+        True where an upstream received and refused it.
     is_final : bool
-        True where it is not to be sent elsewhere.
+        True where it must not be sent elsewhere.
     """
 
     reason: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Lost:
-    """No whole answer came, and the request may have run."""
+    """No whole answer was received, and the request may have run."""
 
     reason: str
 
@@ -47,22 +47,22 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """A whole answer came."""
+    """A whole answer was received."""
 
     answer: WholeAnswer
 
 
 @dataclass(frozen=True)
 class Streamed:
-    """A stream was passed on to its clean end."""
+    """A stream was relayed to its regular end."""
 
 
 AttemptOutcome = NotRun | Lost | Failed | Answered | Streamed
 
 
 @dataclass(frozen=True)
-class Again:
-    """Try once more."""
+class Retry:
+    """Make another attempt."""
 
 
 @dataclass(frozen=True)
@@ -84,36 +84,38 @@
 
 @dataclass(frozen=True)
 class RefuseWith:
-    """Send the caller a refusal of this system."""
+    """Send the caller a refusal by this system."""
 
     kind: ProblemKind
     detail: str
     outcome: Outcome
 
 
-Step = Again | Deliver | Finish | BreakOff | RefuseWith
+Step = Retry | Deliver | Finish | BreakOff | RefuseWith
 
 
 @dataclass
 class Progress:
-    """How far a request has come.
+    """Progress of a request over its attempts.
 
     Parameters
     ----------
     repeatable : bool
-        True where running it twice does no harm.
+        True where the request may run more than once.
     attempts : int
-        Upstreams that may run it.
+        Attempts that may run it.
     runs : int
-        Attempts that may have run it.
+        Attempts that may have run it so far.
     sends : int
-        Attempts of any kind.
+        Attempts of any kind so far.
     arrivals : int
         Attempts that reached an upstream.
     begun : bool
         True where the caller has been sent the head of an answer.
     fallback : WholeAnswer or None
-        An upstream's failure, told where no better answer comes.
+        An upstream's failure, returned where no better answer is received.
+    reasons : list of str
+        Why each attempt did not succeed.
     """
 
     repeatable: bool
@@ -125,8 +127,8 @@
     fallback: WholeAnswer | None = None
     reasons: list[str] = field(default_factory=list)
 
-    def take(self, outcome: AttemptOutcome, remaining_s: float) -> Step:
-        """Count an attempt; return what to do next."""
+    def next_step(self, outcome: AttemptOutcome, remaining_s: float) -> Step:
+        """Record the outcome of an attempt; return the next step."""
         self.sends += 1
         match outcome:
             case Streamed():
@@ -137,35 +139,35 @@
                 self.arrivals += arrived
                 self.reasons.append(reason)
                 if is_final:
-                    return self.keep_back(reason)
+                    return self.refuse_quarantined(reason)
             case Failed(answer):
-                self.note_run(f'status {answer.status}')
+                self.record_run(f'status {answer.status}')
                 self.fallback = answer
             case Lost(reason):
-                self.note_run(reason)
-        if self.may_go_on(remaining_s):
-            return Again()
+                self.record_run(reason)
+        if self.may_retry(remaining_s):
+            return Retry()
         return self.give_up()
 
-    def note_run(self, reason: str) -> None:
-        """Count an attempt that may have run."""
+    def record_run(self, reason: str) -> None:
+        """Record an attempt that may have run."""
         self.runs += 1
         self.arrivals += 1
         self.reasons.append(reason)
 
-    def may_go_on(self, remaining_s: float) -> bool:
-        """Tell whether one more attempt is allowed and worth its while."""
-        if self.sends >= MAX_SENDS or remaining_s < LEAST_TIME_S:
+    def may_retry(self, remaining_s: float) -> bool:
+        """Tell whether another attempt is allowed and has enough time."""
+        if self.sends >= MAX_SENDS or remaining_s < MIN_REMAINING_S:
             return False
         if not self.runs:
             return True
         return self.repeatable and self.runs < self.attempts
 
     def give_up(self) -> Step:
-        """Return the last step of a request that got no answer.
+        """Return the last step of a request without an answer.
 
-        *Not run* is said only where no attempt can have run it: callers send
-        a request again that did not run, and it must not run twice.
+        The outcome is *not run* only where no attempt can have run: callers
+        repeat such requests, which must not run twice.
         """
         if self.begun:
             return BreakOff()
@@ -177,8 +179,8 @@
             return RefuseWith(kind, detail, Outcome.unknown)
         return RefuseWith(ProblemKind.no_upstream, detail, Outcome.not_run)
 
-    def keep_back(self, reason: str) -> Step:
-        """Return the last step of a request that crashes upstreams."""
+    def refuse_quarantined(self, reason: str) -> Step:
+        """Return the last step of a quarantined request."""
         if reason not in self.reasons:
             self.reasons.append(reason)
         step = self.give_up()
@@ -187,13 +189,13 @@
             return RefuseWith(ProblemKind.quarantined, reason, Outcome.not_run)
         return step
 
-    def pass_deadline(self, *, under_way: bool) -> Step:
-        """Return the last step of a request whose time is over."""
+    def expire(self, *, in_flight: bool) -> Step:
+        """Return the last step of a request whose deadline has passed."""
         if self.begun:
             return BreakOff()
         if self.fallback is not None:
             return Deliver(self.fallback)
-        if self.runs or under_way:
+        if self.runs or in_flight:
             detail = 'the deadline passed'
             return RefuseWith(ProblemKind.deadline, detail, Outcome.unknown)
         detail = 'the deadline passed before any attempt'
--- a/godwitshunt/quarantine/tests/test_verdicts.py
+++ b/godwitshunt/quarantine/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Which of several lost requests is held to crash upstreams."""
+"""Which of several lost requests are confirmed to crash upstreams."""
 
 import pytest
 
@@ -7,125 +7,125 @@
 SHORT_S, LONG_S = 0.1, 2.0
 
 
-def named(number: int) -> Fingerprint:
-    """Return a fingerprint."""
+def fingerprint_of(number: int) -> Fingerprint:
+    """Return the fingerprint with a number."""
     return Fingerprint(number.to_bytes(16, 'big'))
 
 
-LETHAL, BYSTANDER, OTHER = map(named, (1, 2, 3))
+CRASHING, UNRELATED, OTHER = map(fingerprint_of, (1, 2, 3))
 
 
 def lose(table, fingerprint, incarnation, at_s, exposure_s=SHORT_S, **fields):
-    """Note a loss."""
-    told = {'organisation': '', 'body_bytes': 5, **fields}
+    """Record a loss."""
+    attributes = {'organisation': '', 'body_bytes': 5, **fields}
     loss = Loss(incarnation, at_s, exposure_s)
-    table.record_loss(LostRequest(fingerprint, loss=loss, **told))
+    table.record_loss(LostRequest(fingerprint, loss=loss, **attributes))
 
 
-def test_third_upstream_that_ends_shows_the_request():
-    """A lethal request that is sent to a fourth upstream."""
+def test_third_crash_confirms_the_request():
+    """It must not be sent to a fourth upstream."""
     table = SuspectTable()
-    found = []
+    confirmed = []
     for number in range(4):
-        lose(table, LETHAL, f'i-{number}', number)
-        found.append(LETHAL in table.confirmed())
-    assert found == [False, False, True, True]
+        lose(table, CRASHING, f'i-{number}', number)
+        confirmed.append(CRASHING in table.confirmed())
+    assert confirmed == [False, False, True, True]
 
 
-def test_upstream_that_took_several_copies_counts_once():
-    """Copies sent at once to one upstream that are held to be three ends."""
+def test_upstream_with_several_copies_counts_once():
+    """Copies at one upstream are not several crashes."""
     table = SuspectTable()
     for number in range(5):
-        lose(table, LETHAL, 'i-1', number)
+        lose(table, CRASHING, 'i-1', number)
     assert not table.confirmed()
 
 
-def test_places_that_end_at_one_moment_show_no_cause():
-    """A lost rack that ends every place of a request that many send alike."""
+def test_simultaneous_crashes_confirm_no_request():
+    """A failed rack crashes all upstreams of a widely sent request."""
     table = SuspectTable()
     for number in range(6):
-        lose(table, BYSTANDER, f'i-{number}', number / 50)
+        lose(table, UNRELATED, f'i-{number}', number / 50)
     assert not table.confirmed()
 
 
-def test_copies_sent_at_once_are_found_by_their_second_moment():
-    """A cause that is sent to three upstreams at once, again and again."""
+def test_simultaneous_copies_are_confirmed_by_the_second_crash_time():
+    """A request may be sent to three upstreams at once, repeatedly."""
     table = SuspectTable()
     for number in range(3):
-        lose(table, LETHAL, f'i-{number}', number / 50)
-    lose(table, LETHAL, 'j-1', 5)
-    assert LETHAL in table.confirmed()
+        lose(table, CRASHING, f'i-{number}', number / 50)
+    lose(table, CRASHING, 'j-1', 5)
+    assert CRASHING in table.confirmed()
 
 
-def test_ends_that_follow_one_another_closely_count():
-    """A cause that comes again before its last end is half a moment ago."""
+def test_crashes_in_quick_succession_count():
+    """A request may be repeated before the window of its last crash is over."""
     table = SuspectTable()
     for number in range(5):
-        lose(table, LETHAL, f'i-{number}', number * 0.15)
-    assert LETHAL in table.confirmed()
+        lose(table, CRASHING, f'i-{number}', number * 0.15)
+    assert CRASHING in table.confirmed()
 
 
-def test_bystander_of_each_end_is_not_held_guilty_with_the_cause():
-    """A client's repeats that meet the lethal request each time."""
+def test_unrelated_request_is_not_confirmed_with_the_cause():
+    """A client's repeats may meet the crashing request each time."""
     table = SuspectTable()
     for number in range(3):
-        lose(table, BYSTANDER, f'i-{number}', number, LONG_S)
-        lose(table, LETHAL, f'i-{number}', number, SHORT_S)
-    assert table.confirmed() == {LETHAL: 3}
+        lose(table, UNRELATED, f'i-{number}', number, LONG_S)
+        lose(table, CRASHING, f'i-{number}', number, SHORT_S)
+    assert table.confirmed() == {CRASHING: 3}
 
 
-def test_bystander_held_guilty_first_is_released_by_the_next_end():
-    """Equal evidence that pointed at the wrong request."""
+def test_wrongly_confirmed_request_is_released_by_the_next_crash():
+    """Equal evidence may first point at the wrong request."""
     table = SuspectTable()
     for number in range(3):
-        lose(table, BYSTANDER, f'i-{number}', number, SHORT_S)
-        lose(table, LETHAL, f'i-{number}', number, LONG_S)
-    assert table.confirmed() == {BYSTANDER: 3}
-    lose(table, LETHAL, 'i-4', 4)
-    assert table.confirmed() == {LETHAL: 4}
+        lose(table, UNRELATED, f'i-{number}', number, SHORT_S)
+        lose(table, CRASHING, f'i-{number}', number, LONG_S)
+    assert table.confirmed() == {UNRELATED: 3}
+    lose(table, CRASHING, 'i-4', 4)
+    assert table.confirmed() == {CRASHING: 4}
 
 
-def test_two_lethal_requests_are_both_found():
-    """Two causes at a time, one of which hides the other."""
+def test_two_crashing_requests_are_both_confirmed():
+    """One of two causes may hide the other at first."""
     table = SuspectTable()
     for number in range(3):
-        lose(table, LETHAL, f'i-{number}', number)
+        lose(table, CRASHING, f'i-{number}', number)
         lose(table, OTHER, f'i-{number}', number, LONG_S)
     lose(table, OTHER, 'j-1', 4)
     assert set(table.confirmed()) == {OTHER}
     lose(table, OTHER, 'j-2', 5)
-    lose(table, LETHAL, 'j-3', 6)
-    lose(table, LETHAL, 'j-4', 7)
-    assert set(table.confirmed()) == {LETHAL, OTHER}
+    lose(table, CRASHING, 'j-3', 6)
+    lose(table, CRASHING, 'j-4', 7)
+    assert set(table.confirmed()) == {CRASHING, OTHER}
 
 
 @pytest.mark.parametrize('answered_after', [0, 1, 2])
-def test_whole_answer_clears_a_request_that_many_send_alike(answered_after):
-    """A popular request, lost by chance wherever upstreams end."""
+def test_whole_answer_clears_a_popular_request(answered_after):
+    """A popular request may be lost by chance in each crash."""
     table = SuspectTable()
     for number in range(4):
-        lose(table, BYSTANDER, f'i-{number}', number)
+        lose(table, UNRELATED, f'i-{number}', number)
         if number == answered_after:
-            table.clear(BYSTANDER, 'a', number + 0.5)
-    assert (BYSTANDER in table.confirmed()) is (answered_after == 0)
+            table.clear(UNRELATED, 'a', number + 0.5)
+    assert (UNRELATED in table.confirmed()) is (answered_after == 0)
 
 
-def test_another_organisation_cannot_push_out_what_is_known():
-    """A caller that crashes upstreams with many bodies, to hide one."""
-    table = SuspectTable(most=20)
+def test_another_organisation_cannot_evict_records():
+    """A caller must not hide a crashing request behind many others."""
+    table = SuspectTable(max_records=20)
     for number in range(3):
-        lose(table, LETHAL, f'i-{number}', number, organisation='o-1')
+        lose(table, CRASHING, f'i-{number}', number, organisation='o-1')
     for number in range(100):
-        lose(table, named(100 + number), 'j-1', 5, organisation='o-2')
-    assert LETHAL in table.confirmed()
+        lose(table, fingerprint_of(100 + number), 'j-1', 5, organisation='o-2')
+    assert CRASHING in table.confirmed()
     assert len(table.records) == 20
 
 
-def test_own_bodies_cannot_push_out_what_is_known():
-    """A caller without an organisation hides behind many bodies of its own."""
-    table = SuspectTable(most=20)
+def test_many_bodies_cannot_evict_a_confirmed_request():
+    """The same holds for a caller without an organisation."""
+    table = SuspectTable(max_records=20)
     for number in range(3):
-        lose(table, LETHAL, f'i-{number}', number)
+        lose(table, CRASHING, f'i-{number}', number)
     for number in range(100):
-        lose(table, named(100 + number), 'j-1', 5)
-    assert LETHAL in table.confirmed()
+        lose(table, fingerprint_of(100 + number), 'j-1', 5)
+    assert CRASHING in table.confirmed()
