--- a/godwitshunt/claims/gen/wire/ttypes.py
+++ b/godwitshunt/claims/gen/wire/ttypes.py
@@ -18,11 +18,11 @@
 
 class Standing(object):
     """
-    What a holder knows of its fellow holders' incarnations.
+    A holder's status: its incarnation, its epoch, and what it knows of peers.
 
     Attributes:
-     - incarnation: The holder's own incarnation in this generation.
-     - known: The highest incarnations that it has heard of, by holder name.
+     - incarnation: The holder's incarnation in this generation.
+     - known: The highest known incarnation of each peer, by holder name.
      - epoch
 
     """
@@ -303,15 +303,15 @@
 
 class ClaimCall(object):
     """
-    Claim, query, release and finish carry the same head.
+    A claim, query, release or finish; the message kind says which.
 
     Attributes:
      - key
      - request_digest
      - vm
      - attempt
-     - epoch: Highest epoch that the sender heard of from holders.
-     - answer: On finish: the answer, or why none is kept.
+     - epoch: The highest epoch that holders reported to the sender.
+     - answer: On finish: the answer, or else in `unknown` why none is stored.
      - unknown
 
     """
@@ -447,7 +447,7 @@
 class ClaimReply(object):
     """
     Attributes:
-     - verdict: The name of a verdict; see godwitshunt.claims.verdicts.
+     - verdict: The number of a verdict; see godwitshunt.claims.verdicts.
      - standing
      - vm
      - attempt
@@ -576,7 +576,7 @@
 
 class RunningCall(object):
     """
-    To the VM of an attempt: whether it runs a key's call now.
+    Asks the VM of an attempt whether it is running a key's call.
 
     Attributes:
      - key
@@ -714,13 +714,13 @@
 
 class HolderCall(object):
     """
-    Between holders: epochs, and the recovery of one that forgot.
+    Between holders: epoch exchange, and recovery of one that lost votes.
 
     Attributes:
      - region
      - generation
      - epoch
-     - incarnation: On recovery: the incarnation that the sender takes; 0 asks only.
+     - incarnation: On recovery: the incarnation that the sender adopts; 0 only queries.
 
     """
 
@@ -894,9 +894,9 @@
     Attributes:
      - region
      - generation
-     - standing: Present where the holder's standing changed.
+     - standing: Present if the holder's status changed.
      - floor
-     - key: Present where a claim changed.
+     - key: Present if a claim changed.
      - request_digest
      - vm
      - attempt
--- a/godwitshunt/configuration/gen/wire/ttypes.py
+++ b/godwitshunt/configuration/gen/wire/ttypes.py
@@ -98,7 +98,7 @@
 
 class VmInfo(object):
     """
-    A VM as it describes itself.
+    Record that a VM sends of itself.
 
     Attributes:
      - name
@@ -107,7 +107,7 @@
      - role
      - http
      - peer
-     - session: Drawn at each start of the VM's process.
+     - session: Random, new at each start of the VM's process.
 
     """
 
@@ -420,8 +420,8 @@
     """
     Attributes:
      - admitted
-     - removed: Known to have stopped.
-     - absent: Not heard for long, perhaps only cut off.
+     - removed: Reported as stopped by an operator.
+     - absent: Without a heartbeat for a long time, perhaps only partitioned.
 
     """
 
@@ -535,7 +535,7 @@
 
 class ChangeHolders(object):
     """
-    The claim holders of a region from now on.
+    Set the claim holders of a region.
 
     Attributes:
      - region
@@ -625,7 +625,7 @@
 
 class ChangeEvacuation(object):
     """
-    Nothing more goes to the upstreams of a failure domain, or again.
+    Stop or resume sending to the upstreams of a failure domain.
 
     Attributes:
      - failure_domain
@@ -710,11 +710,11 @@
     An order to an upstream; committed before it is sent.
 
     Attributes:
-     - order: Chosen by whoever asks; the same one is never issued twice.
+     - order: Chosen by the requester; an order is issued once per name.
      - upstream
      - action
      - subject
-     - weight_units: Units that the order takes from the weight store's bucket.
+     - weight_units: Units that the order takes from the weight store's token bucket.
 
     """
 
@@ -825,7 +825,7 @@
 
 class FinishOrder(object):
     """
-    What became of an order that was sent.
+    Outcome of an order that was sent.
 
     Attributes:
      - order
@@ -910,7 +910,7 @@
     One entry of the replicated log; exactly one command is set.
 
     Attributes:
-     - proposal: Random; pairs the entry with the call that waits for its outcome.
+     - proposal: Random identifier; matches the entry to the call that awaits its outcome.
      - accept_manifest
      - confirm_manifest
      - change_vms
@@ -1068,13 +1068,13 @@
 
 class VmHeartbeat(object):
     """
-    From a VM to a control replica or a peer of its region, each second.
+    Sent by a VM to a control replica or a peer of its region, each second.
 
     Attributes:
      - name
      - session
-     - revision: The revision in force there; 0 for none, or to ask for the whole.
-     - vm: Until the receiver knows it.
+     - revision: Latest revision of the VM; 0 for none, or to request the full document.
+     - vm: Set until the receiver knows it.
 
     """
 
@@ -1175,15 +1175,15 @@
 
 class ConfigurationNews(object):
     """
-    The newest revision: nothing, a delta, or the whole document.
+    Update to the newest revision: empty, a delta, or the full document.
 
     Attributes:
      - revision
-     - digest: SHA-256 of the whole document; empty where nothing is newer.
-     - base_digest: Digest of the document that a delta builds on; empty for a whole one.
-     - body: Compressed JSON; empty where the receiver has this revision.
+     - digest: SHA-256 of the full document; empty if nothing is newer.
+     - base_digest: Digest of the document that a delta builds on; empty for a full one.
+     - body: Compressed JSON; empty if the receiver has this revision.
      - quorum_age_s: Seconds since the last proof of a live quorum; negative for none.
-     - introduce: The receiver of the heartbeat does not know the VM in this session.
+     - introduce: True if the receiver of the heartbeat does not know the VM's session.
 
     """
 
@@ -1305,13 +1305,13 @@
 
 class VmReport(object):
     """
-    What one control replica heard from a VM.
+    Last heartbeat of a VM, as one control replica received it.
 
     Attributes:
      - name
      - revision
      - age_s
-     - vm: Only where it differs from what is committed.
+     - vm: Only set if it differs from the committed record.
 
     """
 
@@ -1412,7 +1412,7 @@
 
 class VmReports(object):
     """
-    From a control replica to the others, each second.
+    Sent by a control replica to the others, each second.
 
     Attributes:
      - reports
@@ -1491,7 +1491,7 @@
 
 class OperatorCall(object):
     """
-    An operator's call that a follower passes to the leader.
+    An operator's call that a follower forwards to the leader.
 
     Attributes:
      - method
--- a/godwitshunt/membership/gen/wire/ttypes.py
+++ b/godwitshunt/membership/gen/wire/ttypes.py
@@ -18,10 +18,10 @@
 
 class Details(object):
     """
-    What an upstream is; sent when new or changed, and on a fetch.
+    Properties of an upstream; sent when new or changed, and on a fetch.
 
     Attributes:
-     - number: The sender's short number for (name, incarnation, these details).
+     - number: Assigned by the sender to (name, incarnation, these details).
      - name
      - incarnation
      - service_name
@@ -260,7 +260,7 @@
 
 class Departure(object):
     """
-    An upstream that takes no new work; ages in milliseconds.
+    A departed upstream; the age is in milliseconds.
 
     Attributes:
      - name
@@ -606,14 +606,14 @@
 
 class Summary(object):
     """
-    A region in sum.
+    Summary of a region.
 
     Attributes:
      - region
      - age_ms
      - round_trip_ms
      - capacities
-     - absent: Names of the region's VMs that take no requests now.
+     - absent: Names of the region's VMs that accept no requests now.
 
     """
 
@@ -743,7 +743,7 @@
     """
     Attributes:
      - details
-     - loads: Seven integers an upstream: number, sequence, age of the announcement in
+     - loads: Seven integers per upstream: number, sequence, age of the announcement in
     ms, age of the measurement in ms, running, queued, queued tokens.
      - departures
      - prefixes
@@ -902,10 +902,10 @@
 
 class Fetch(object):
     """
-    Asks a peer of the region for what it knows.
+    Requests the upstream table of a peer in the region.
 
     Attributes:
-     - own_only: True: only upstreams that announce to the peer itself.
+     - own_only: True: only upstreams that announce themselves to the peer.
 
     """
 
@@ -975,14 +975,14 @@
     One message to one peer of the region.
 
     Attributes:
-     - session: Drawn at the process's start.
-     - clock_ms: The sender's own clock, in ms since its start; never compared.
-     - echo_session: Last clock reading heard from the receiver, and for how long held.
+     - session: Random, drawn at the start of the process.
+     - clock_ms: The sender's monotonic clock in ms; never compared with other clocks.
+     - echo_session: Last clock reading received from the receiver, and ms since then.
      - echo_ms
      - held_ms
      - digest
      - draining
-     - batch: An encoded Batch, the same for every receiver.
+     - batch: An encoded Batch, identical for every receiver.
 
     """
 
--- a/godwitshunt/peer/gen/wire/ttypes.py
+++ b/godwitshunt/peer/gen/wire/ttypes.py
@@ -18,7 +18,7 @@
 
 class Opening(object):
     """
-    First frame, from the process that connected.
+    First frame, sent by the connecting process.
 
     Attributes:
      - protocol_version
@@ -100,7 +100,7 @@
 
 class Challenge(object):
     """
-    Second frame: the accepting process proves the key.
+    Second frame: proof of the cluster key by the accepting process.
 
     Attributes:
      - protocol_version
@@ -206,7 +206,7 @@
 
 class Hello(object):
     """
-    Third frame: the connecting process proves it, too.
+    Third frame: proof of the cluster key by the connecting process.
 
     Attributes:
      - name
@@ -288,11 +288,11 @@
 
 class Envelope(object):
     """
-    Every later frame, in both directions.
+    Every frame after the handshake, in both directions.
 
     Attributes:
      - kind
-     - call: Pairs a reply with its call; 0 for a message without reply.
+     - call: Matches a reply to its call; 0 for a message without a reply.
      - reply
      - body
 
--- a/godwitshunt/placement/gen/wire/ttypes.py
+++ b/godwitshunt/placement/gen/wire/ttypes.py
@@ -23,7 +23,7 @@
      - region
      - host
      - port
-     - honours_fencing: Whether it refuses orders with an old fencing number.
+     - honours_fencing: Whether it refuses orders with an outdated fencing number.
 
     """
 
--- a/godwitshunt/registry/gen/wire/ttypes.py
+++ b/godwitshunt/registry/gen/wire/ttypes.py
@@ -107,11 +107,12 @@
      - failure_domain
      - slots
      - draining
-     - cold_ms: Milliseconds for which it stays cold, from when this was written.
+     - cold_ms: Remaining milliseconds of its cold start when this was sent.
      - sequence
-     - silent: No announcement came for a while.
-     - ends_in_ms: Milliseconds until it is gone, where that is known.
-     - born_ms: When this start began, by its own clock; absent where it does not tell.
+     - silent: True if no announcement was received recently.
+     - ends_in_ms: Milliseconds until it terminates; absent if unknown.
+     - born_ms: Start time of the incarnation by its own clock, in Unix milliseconds;
+    absent if it does not send one.
 
     """
 
@@ -289,7 +290,7 @@
 
 class StartEnded(object):
     """
-    The newest start of an upstream that has ended.
+    The newest incarnation of an upstream that has ended.
 
     Attributes:
      - instance
@@ -379,8 +380,8 @@
      - region
      - failure_domain
      - http: Where callers reach it.
-     - hop: Where other entry VMs hand requests over.
-     - accepting: False while it drains or knows no configuration.
+     - hop: Where other entry VMs forward requests to it.
+     - accepting: False while it drains or has no configuration.
 
     """
 
@@ -515,14 +516,14 @@
 
 class UpstreamLoad(object):
     """
-    Requests of one or more entry VMs at an upstream.
+    Load of an upstream by one or more entry VMs.
 
     Attributes:
      - instance: Name of the incarnation.
      - in_flight
-     - pending_tokens: Prompt tokens of requests that have shown no first event.
-     - waiting_ms: Milliseconds since the oldest of those was sent; absent for none.
-     - heard_ms: Milliseconds since bytes last came from it; absent for never.
+     - pending_tokens: Prompt tokens of requests that have not returned a first event.
+     - waiting_ms: Milliseconds since the oldest such request was sent; absent for none.
+     - heard_ms: Milliseconds since bytes last arrived from it; absent for never.
 
     """
 
@@ -633,12 +634,12 @@
 
 class PrefixInfo(object):
     """
-    Shared prompt parts that an upstream has read, and keeps for a while.
+    Shared prompt parts that an upstream has processed and keeps cached.
 
     Attributes:
-     - key: Names the parts; the same on all VMs.
+     - key: Identifies the parts; the same on all VMs.
      - instance: Name of the incarnation.
-     - age_ms: Milliseconds since it read them last, from when this was written.
+     - age_ms: Milliseconds since it last processed them when this was sent.
 
     """
 
@@ -727,17 +728,17 @@
 
 class AttemptShown(object):
     """
-    What an attempt showed of an upstream.
+    The observed outcome of an attempt at an upstream.
 
     Attributes:
      - instance
      - service_name
      - shown: A member of `Shown`.
-     - first_ms: Milliseconds to the first sign of an answer; absent for none.
+     - first_ms: Milliseconds to the first byte of an answer; absent for none.
      - took_ms
-     - predicted_ms: What was expected when it was sent.
+     - predicted_ms: Latency predicted when it was sent.
      - unread_tokens
-     - was_held_up: True where the engine had other prompts to read, or was cold.
+     - was_held_up: True if the engine had other prompts to process, or was cold.
 
     """
 
@@ -881,11 +882,11 @@
 
 class PlaceLost(object):
     """
-    A place that ended while it had a request.
+    An upstream that terminated while it had a request.
 
     Attributes:
      - place
-     - age_ms: Milliseconds since then, from when this was written.
+     - age_ms: Milliseconds since then when this was sent.
      - exposure_ms: Milliseconds for which it had the request.
 
     """
@@ -975,12 +976,12 @@
 
 class Clearance(object):
     """
-    A moment until which nothing is held against a request: it was answered
-    whole, or an operator said so.
+    A time up to which the losses of a request are disregarded: it was answered
+    completely, or an operator released it.
 
     Attributes:
-     - name: Names the moment.
-     - age_ms: Milliseconds since then, from when this was written.
+     - name: Identifies the clearance.
+     - age_ms: Milliseconds since then when this was sent.
 
     """
 
@@ -1058,11 +1059,11 @@
 
 class SuspectInfo(object):
     """
-    A request that was lost to upstreams, named by its content.
+    A request that was lost to upstreams, identified by its content.
 
     Attributes:
      - fingerprint: 16 bytes.
-     - organisation: Whose request it is; empty for nobody's.
+     - organisation: Organisation that sent it; empty for none.
      - body_bytes
      - losses
      - clearances
@@ -1194,7 +1195,7 @@
 
 class AdmittedUnits(object):
     """
-    What an organisation was admitted by a process since that started.
+    Units that a process has admitted for an organisation since it started.
 
     Attributes:
      - organisation
@@ -1276,18 +1277,18 @@
 
 class LoadReport(object):
     """
-    An entry VM's own requests; one with a higher number takes its place.
+    All requests of an entry VM; a report with a higher number replaces it.
 
     Attributes:
      - number: Rises with each report of the entry VM's process.
      - loads
-     - session: Drawn at each start of the entry VM's process.
-     - places_of: The control process that gave places, and the last one that the loads
-    hold.
+     - session: Random identifier, new at each start of the entry VM's process.
+     - places_of: The control process that assigned destinations, and the number of its
+    last reservation that the loads include.
      - places_taken
-     - shown: What attempts have shown since the last report to this control VM.
-     - prefixes: What upstreams have read since then.
-     - admitted: What the entry VM has admitted without a picker.
+     - shown: Outcomes of attempts since the last report to this control VM.
+     - prefixes: Cached prefixes since then.
+     - admitted: Units that the entry VM has admitted without a picker.
      - suspects: Requests that were lost to upstreams since the last report.
 
     """
@@ -1488,7 +1489,7 @@
 
 class TableHeld(object):
     """
-    A control VM's table, as far as the one that asks holds it.
+    Versions of a control VM's table that the sender holds.
 
     Attributes:
      - source
@@ -1585,20 +1586,20 @@
     From an entry VM or a control VM to a control VM, a few times a second.
 
     Attributes:
-     - entry: Absent where a control VM asks, or an entry VM that is heard by another
+     - entry: Absent if a control VM polls, or an entry VM that reports to another
     one.
      - held
-     - report: The entry VM's own requests; absent where it reports to another one.
-     - prefixes: What the entry VM's requests have shown since the last poll.
-     - prefixes_version: Version of the held prefixes that it has heard of here; a negative one
-    asks for none.
-     - wants_loads: True where requests at upstreams are asked for.
-     - scope: A member of `Scope`: whose tables are asked for.
-     - from_control: True where a control VM asks.
-     - newer: Tables that the entry VM holds as newer ones than the control VM that it
-    asks, which has said that it misses some.
-     - suspects: Requests that the entry VM lost to upstreams since the last poll.
-     - suspects_version: Version of the suspected requests that it has heard of here.
+     - report: The entry VM's requests; absent if it reports to another control VM.
+     - prefixes: Cached prefixes that its requests have shown since the last poll.
+     - prefixes_version: Version of the receiver's cached prefixes that the sender holds; a
+    negative one requests none.
+     - wants_loads: True to request the loads of upstreams.
+     - scope: A member of `Scope`: the tables that are requested.
+     - from_control: True if a control VM polls.
+     - newer: Tables that are newer at the entry VM than at the receiver, which has
+    reported stale ones.
+     - suspects: Requests of the entry VM lost to upstreams since the last poll.
+     - suspects_version: Version of the receiver's suspected requests that the sender holds.
 
     """
 
@@ -1813,24 +1814,24 @@
 
 class TableNews(object):
     """
-    News of one control VM's table, from itself or from another one.
+    An update of one control VM's table, from itself or relayed.
 
     Attributes:
-     - control: Where peers reach the control VM; told with a whole table.
-     - source: Drawn at each start of the control VM's process.
+     - control: Peer address of the control VM; present with a whole table.
+     - source: Random identifier, new at each start of the control VM's process.
      - version
-     - whole: True where this is the whole table and not what has changed.
-     - age_ms: Milliseconds since whoever tells this asked the control VM for it; 0
-    where it tells of itself.
-     - region: Where the control VM stands; told with a whole table.
+     - whole: True if this is the whole table, not only its changes.
+     - age_ms: Milliseconds since the sender polled the control VM for it; 0 in the
+    control VM's own update.
+     - region: Region of the control VM; present with a whole table.
      - upstreams
-     - gone: Starts that ended: they left or were replaced, and never come back.
+     - gone: Incarnations that ended: they left or were replaced for good.
      - entries
-     - gone_entries: Names of entry VMs that are not heard any more.
+     - gone_entries: Names of entry VMs that no longer poll.
      - entries_version
-     - loads: Requests of the entry VMs that report to the control VM; absent where
-    they are not asked for.
-     - admitted: What the control VM's picker has admitted; told with the loads.
+     - loads: Loads by the entry VMs that report to the control VM; absent if not
+    requested.
+     - admitted: Units that the control VM's picker has admitted; sent with the loads.
 
     """
 
@@ -2085,14 +2086,14 @@
     """
     Attributes:
      - source: The control VM's process.
-     - tables: The control VM's own table, and what it knows of the others'.
-     - loads: Requests of all other entry VMs; absent where not asked for.
-     - prefixes: Prefixes that were read after the version asked for.
+     - tables: The control VM's own table and its copies of the others'.
+     - loads: Loads by all other entry VMs; absent if not requested.
+     - prefixes: Prefixes cached after the requested version.
      - prefixes_version
-     - gives_places: True where this control VM gives places to its region's entry VMs.
-     - region: Where this control VM stands.
-     - misses_tables: True where some table is old here: whoever holds it as newer may tell.
-     - suspects: Suspected requests that changed after the version asked for.
+     - gives_places: True if this control VM assigns destinations to its region's entry VMs.
+     - region: Region of this control VM.
+     - misses_tables: True if some table is stale here: an entry VM may send a newer copy.
+     - suspects: Suspected requests that changed after the requested version.
      - suspects_version
 
     """
@@ -2295,23 +2296,23 @@
 
 class PlaceAsked(object):
     """
-    From an entry VM to its region's picker: a place for a request.
+    From an entry VM to its region's picker: requests a destination.
 
     Attributes:
      - entry_name
      - report
      - request_id
-     - host: Names the route.
+     - host: Host and path prefix identify the route.
      - path_prefix
      - service_name
      - prompt_tokens
      - shared_tokens
-     - shared_key: Names the shared parts; absent where there are none.
+     - shared_key: Identifies the shared parts; absent if there are none.
      - remaining_ms
      - excluded: Incarnations, VMs and regions that failed this request.
-     - local: True where it was handed over, and must be served in this region.
-     - organisation: Whose request it is; absent for nobody's.
-     - cost: What it counts for in that organisation's limit.
+     - local: True if it was forwarded here and must be served in this region.
+     - organisation: Organisation that sent it; absent for none.
+     - cost: Units that it counts in that organisation's limit.
 
     """
 
@@ -2530,11 +2531,11 @@
 
 class PlaceGiven(object):
     """
-    Where a request goes: an upstream, an entry VM, or nowhere.
+    The destination of a request: an upstream, an entry VM, or none.
 
     Attributes:
      - kind: A member of `GivenKind`.
-     - source: The picker's process, and the number of this place.
+     - source: The picker's process, and the number of the reservation.
      - number
      - predicted_ms
      - upstream
@@ -2722,12 +2723,12 @@
 
 class KeptUpstreams(object):
     """
-    What a control VM keeps on its disk of upstreams.
+    The table of upstreams that a control VM stores on its disk.
 
     Attributes:
      - upstreams
      - gone
-     - suspects: Requests under which upstreams ended.
+     - suspects: Requests that were lost to upstreams.
 
     """
 
--- a/godwitshunt/routing/gen/wire/ttypes.py
+++ b/godwitshunt/routing/gen/wire/ttypes.py
@@ -18,15 +18,15 @@
 
 class LimitGossip(object):
     """
-    What one VM tells one peer; a lost one only delays a share's move.
+    Update of one VM to one peer; a lost one only delays a lease.
 
     Attributes:
      - incarnation: Random number of the sender's process.
      - stamp_s: Sender's monotonic clock in seconds.
-     - echo_incarnation: The receiver's process and clock, as last heard by the sender.
+     - echo_incarnation: The receiver's process and clock, as last received by the sender.
      - echo_stamp_s
-     - unmet_per_s: Requests a second that callers ask for beyond the sender's quota.
-     - lent_per_s: Requests a second that the sender lends to the receiver.
+     - unmet_per_s: Demand beyond the sender's quota, in requests per second by caller.
+     - lent_per_s: Rates that the sender leases to the receiver, in requests per second.
 
     """
 
