--- a/godwitshunt/registry/gen/wire/ttypes.py
+++ b/godwitshunt/registry/gen/wire/ttypes.py
@@ -733,7 +733,7 @@
     Attributes:
      - instance
      - service_name
-     - shown: A member of `Shown`.
+     - shown: A member of `AttemptResult`.
      - first_ms: Milliseconds to the first byte of an answer; absent for none.
      - took_ms
      - predicted_ms: Latency predicted when it was sent.
@@ -2534,7 +2534,7 @@
     The destination of a request: an upstream, an entry VM, or none.
 
     Attributes:
-     - kind: A member of `GivenKind`.
+     - kind: A member of `AssignmentKind`.
      - source: The picker's process, and the number of the reservation.
      - number
      - predicted_ms
--- a/godwitshunt/registry/registry.thrift
+++ b/godwitshunt/registry/registry.thrift
@@ -73,7 +73,7 @@
 struct AttemptShown {
   1: string instance
   2: string service_name
-  /** A member of `Shown`. */
+  /** A member of `AttemptResult`. */
   3: i32 shown
   /** Milliseconds to the first byte of an answer; absent for none. */
   4: optional double first_ms
@@ -252,7 +252,7 @@
 
 /** The destination of a request: an upstream, an entry VM, or none. */
 struct PlaceGiven {
-  /** A member of `GivenKind`. */
+  /** A member of `AssignmentKind`. */
   1: i32 kind
   /** The picker's process, and the number of the reservation. */
   2: string source
