--- a/godwitshunt/ingress/task.py
+++ b/godwitshunt/ingress/task.py
@@ -40,7 +40,7 @@
 # A request that is received before the first configuration waits for it this
 # long. A VM that has just started receives it soon, and a refused caller would
 # come back later. Control VMs of other regions have answered within this time,
-# which is shorter than the users' shortest objective.
+# which is shorter than the shortest objective of the expected workload.
 FIRST_REVISION_WAIT_S = 0.35
 # Refusals that another VM, or this one shortly after, may not repeat.
 RETRYABLE_KINDS = frozenset((ProblemKind.not_ready, ProblemKind.unproven))
--- a/godwitshunt/peer/link.py
+++ b/godwitshunt/peer/link.py
@@ -25,9 +25,8 @@
 CONNECT_TIMEOUT_S = 2.0
 # Timeout of the first connection attempt; it doubles with each attempt. A SYN
 # to a VM that is still booting is lost, and the kernel retransmits it only
-# after 1 s. Without the short first attempt, 20 of 45 pairs of control and
-# entry VMs took over 0.9 s from the entry VM's start to the first message after
-# a full restart (median 0.6 s); with it, none of 36 (median 0.48 s).
+# after 1 s. Without the short first attempt, many pairs of control and entry
+# VMs would wait for that retransmission after a full restart.
 FIRST_CONNECT_TIMEOUT_S = 0.3
 RECONNECT_DELAY_S = 0.1
 # A connection may stop carrying data without a reset while new connections
@@ -39,7 +38,7 @@
 UNRESPONSIVE_AFTER_S = 1.3
 # A connection that carries only pings for this long is closed, and reopened
 # for the next message. An idle entry VM needs one control VM only; pings to the
-# four others caused 90 % of its wake-ups (measured with 195 entry VMs, 28 s).
+# four others would cause most of its wake-ups.
 IDLE_AFTER_S = 5.0
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 CONNECTION_ERRORS = (
--- a/godwitshunt/picking/chooser.py
+++ b/godwitshunt/picking/chooser.py
@@ -42,9 +42,7 @@
 # A request whose predicted wait for other requests exceeds this share of its
 # objective is refused at once: it would be late and delay those behind it. The
 # prefill time of its own prompt is added to the bound, since otherwise idle
-# engines would refuse the longest prompts. Two heavy days scored 0.01 and 0.02
-# higher than with 1.3 including the own prefill time; single runs differ by as
-# much.
+# engines would refuse the longest prompts.
 MAX_WAIT_SHARE = 0.8
 MIN_RETRY_S = 0.1
 # Number of entry VMs per other region to which an entry VM hands requests
--- a/godwitshunt/picking/filters.py
+++ b/godwitshunt/picking/filters.py
@@ -12,9 +12,9 @@
 # An upstream that terminates sooner than this gets no new request, because the
 # answer might not be complete by then.
 MIN_REMAINING_S = 1.5
-# Requests in flight that an engine gets, per slot. On an overloaded day, first
-# events were on time up to twice the slots; with more requests they were late
-# and streams exceeded their deadline.
+# Requests in flight that an engine gets, per slot. Up to this number, first
+# events are on time under overload; with more requests they are late and
+# streams exceed their deadline.
 MAX_REQUESTS_PER_SLOT = 2.0
 
 
--- a/godwitshunt/picking/learned_speed.py
+++ b/godwitshunt/picking/learned_speed.py
@@ -9,9 +9,8 @@
 
 from godwitshunt.routing.selection import ServiceSpeed
 
-# Initial estimates. Plain services of users work 20 to 90 ms; their engines
-# prefill 51 to 112 tokens per millisecond and send the first event 31 to 47 ms
-# after that.
+# Initial estimates. Plain upstreams work 20 to 90 ms; engines prefill 51 to
+# 112 tokens per millisecond and send the first event 31 to 47 ms after that.
 PLAIN_FIRST_S = 0.03
 ENGINE_FIRST_S = 0.055
 ENGINE_RUN_S = 0.5
@@ -25,9 +24,9 @@
 # An engine that was busy with requests of other VMs looks slower than it is by
 # any factor; it seldom looks faster. So an estimate changes by a fixed share
 # of itself per sample, whatever the difference, with unequal steps so that
-# about a third of the samples are faster than the estimate. With a plain
-# moving average the median error for an engine of 200 tokens per millisecond
-# was 0.28 if one in five answers had waited (20 seeds of 60 answers).
+# about a third of the samples are faster than the estimate. In a plain moving
+# average, the engine would look too slow even if only one in five answers had
+# waited.
 MAX_DECREASE_SHARE = 0.08
 MAX_INCREASE_SHARE = 0.05
 # Lower bound of the time to the first event; an estimate of zero could not
--- a/godwitshunt/registry/incarnations.py
+++ b/godwitshunt/registry/incarnations.py
@@ -11,9 +11,9 @@
 from godwitshunt.registry.records import UpstreamAnnounced
 
 # Announcements arrive seconds late, and later still after a network partition;
-# the users' partitions last for up to eight seconds. For this long an
-# incarnation that started before the newest known one is treated as a delayed
-# message; after that, as an upstream whose clock was set back before a restart.
+# expected partitions last for up to eight seconds. For this long an incarnation
+# that started before the newest known one is treated as a delayed message;
+# after that, as an upstream whose clock was set back before a restart.
 MAX_ANNOUNCEMENT_DELAY_S = 20.0
 # How long the end of an incarnation is remembered.
 TOMBSTONE_TTL_S = 120.0
--- a/godwitshunt/registry/prefixes.py
+++ b/godwitshunt/registry/prefixes.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, field
 from itertools import takewhile
 
-# Engines evict the least recently used prefixes when their memory is full. The
-# users' engines hold 20 to 27 prompts of 13,300 tokens, each requested every
-# 8 to 16 s. If an entry here is too old, the request costs the same prefill on
-# that upstream as it would on the prefix's owner.
+# Engines evict the least recently used prefixes when their memory is full. In
+# the expected workload an engine holds 20 to 27 prompts of 13,300 tokens, each
+# requested every 8 to 16 s. If an entry here is too old, the request costs the
+# same prefill on that upstream as it would on the prefix's owner.
 PREFIX_TTL_S = 40.0
 # Pairs of prefix and upstream to remember; the oldest are dropped. The largest
-# deployment that was replayed sends 49 long prompts a second.
+# expected deployment sends 49 long prompts a second.
 MAX_PREFIXES = 4096
 
 
--- a/godwitshunt/routing/selection.py
+++ b/godwitshunt/routing/selection.py
@@ -27,17 +27,13 @@
 # otherwise VMs that decide on the same reports would all choose the same one.
 NEAR_BEST_S = 0.01
 # Cost of each request in flight, since every one makes an engine's steps
-# longer. With three times this value, requests left engines that had their
-# prompts cached for less loaded ones: in the engine model at 2.6 times the load
-# of a region (8 seeds), 0.76 of long prompts and 0.94 of short ones met their
-# objective, against 0.85 and 0.98 with this value.
+# longer. With a much higher value, requests leave engines that have their
+# prompts cached for less loaded ones, and more of them miss their objective.
 CROWDING_PER_REQUEST_S = 0.004
 # Share of the pending prompt tokens that are ahead of an urgent request: it
 # overtakes waiting prompts, but an engine does not interrupt a prefill. Lower
 # values admit more urgent requests in a peak than meet their objective; higher
-# values refuse requests that engines could serve. In the engine model, with
-# 0.3, 0.6 and 1, 0.53, 0.64 and 0.58 of long prompts met their objective at 3.2
-# times a region's load, and 0.91, 0.83 and 0.73 of short ones at 4 times.
+# values refuse requests that engines could serve.
 URGENT_WAIT_SHARE = 0.5
 # A prefill delays every stream that runs on the same engine; this share of the
 # sum of their delays is added to the cost.
@@ -50,15 +46,13 @@
 # one takes engine time from all requests there and evicts other prefixes. So
 # this multiple of the prefill time is added to the cost, as long as an upstream
 # with the prefix cached has slack: its prediction is below this share of the
-# objective. In the engine model (8 seeds of 8 s) at normal load, 73,600 tokens
-# were prefilled repeatedly instead of 100,400, and 0.934 of long prompts met
-# their objective instead of 0.922; peaks hardly changed. Without the slack
-# condition, requests of a peak waited for the same few engines.
+# objective. Without the slack condition, requests of a peak would wait for the
+# same few engines.
 REREAD_WEIGHT = 2.0
 SLACK_SHARE = 0.4
 # Attention compares each token of a prompt with all tokens before it. So n
 # tokens with k of them cached take as long as this times (n*n - k*k) additional
-# tokens. Derived from an engine that took 1.6 s to prefill 57,634 tokens.
+# tokens.
 PAIR_TOKENS = 8.2e-6
 
 
--- a/godwitshunt/routing/upstream_health.py
+++ b/godwitshunt/routing/upstream_health.py
@@ -18,9 +18,9 @@
 DELAY_HALF_LIFE_S = 1.0
 # A picker receives a hundred answers per second, whose predictions were made
 # before they waited in the queue. With the full weight for each, the average
-# oscillated between the limits below: an engine with 36 requests in flight was
-# predicted at 0.27 s and took 2.2 s. So the weight of an answer is limited by
-# the time since the last one; within this time the weights add up to at most 1.
+# would oscillate between the limits below, and the prediction for a busy engine
+# could be seconds too short. So the weight of an answer is limited by the time
+# since the last one; within this time the weights add up to at most 1.
 FULL_CORRECTION_S = 2.0
 LONGEST_DELAY_S = 3.0
 # Predictions count queues at their full length, but engines serve urgent
